--- a/core/src/test/java/cedarrudder/balancer/Await.java
+++ b/core/src/test/java/cedarrudder/balancer/Await.java
@@ -11,15 +11,16 @@
 import java.util.function.Predicate;
 
 /**
- * The waits of tests, of all modules: each ends, after a bound that no event needs on the slowest
- * machine, in a failure that names what did not come. A process that was waited for is ended then.
+ * Waits for events in the tests of all modules. Each wait has a time limit that no event needs on
+ * the slowest machine; past it, the wait fails with an error that names the missing event. A
+ * process that is waited for is ended then.
  */
 public final class Await {
 
-    /** No test waits longer for what must come; none depends on how soon it comes. */
+    /** Maximum time that a test waits, in seconds; no test depends on how soon the event occurs. */
     public static final int LONGEST_SECONDS = 60;
 
-    /** What may come to hold. */
+    /** A condition to wait for. */
     public interface Condition {
         boolean holds() throws Exception;
     }
@@ -27,14 +28,14 @@
     private Await() {}
 
     private static AssertionError never(String event) {
-        return new AssertionError("not in " + LONGEST_SECONDS + " s: " + event);
+        return new AssertionError("not within " + LONGEST_SECONDS + " s: " + event);
     }
 
     private static long end() {
         return System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_SECONDS);
     }
 
-    /** Looks once a millisecond, until this holds. */
+    /** Waits until the condition holds, checking it every millisecond. */
     public static void until(String event, Condition condition) throws Exception {
         long end = end();
         while (!condition.holds()) {
@@ -45,7 +46,7 @@
         }
     }
 
-    /** The next of a queue. */
+    /** Waits for the next element of a queue and returns it. */
     public static <T> T next(String event, BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(LONGEST_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
@@ -54,14 +55,14 @@
         return next;
     }
 
-    /** Until a latch is open. */
+    /** Waits until a latch has counted down to zero. */
     public static void open(String event, CountDownLatch latch) throws InterruptedException {
         if (!latch.await(LONGEST_SECONDS, TimeUnit.SECONDS)) {
             throw never(event);
         }
     }
 
-    /** Until a thread has ended. */
+    /** Waits until a thread has ended. */
     public static void end(String event, Thread thread) throws InterruptedException {
         thread.join(TimeUnit.SECONDS.toMillis(LONGEST_SECONDS));
         if (thread.isAlive()) {
@@ -70,7 +71,8 @@
     }
 
     /**
-     * Until a process has ended, with this code. Nothing is read of what it says: see {@link #all}.
+     * Waits until a process has ended and returns its exit code. Its output is not read: see {@link
+     * #all}.
      */
     public static int end(String event, Process process) throws InterruptedException {
         if (!process.waitFor(LONGEST_SECONDS, TimeUnit.SECONDS)) {
@@ -80,7 +82,7 @@
         return process.exitValue();
     }
 
-    /** The same for a process that is known by its handle alone. */
+    /** Waits until a process that is known only by its handle has ended. */
     public static void end(String event, ProcessHandle process) throws Exception {
         try {
             process.onExit().get(LONGEST_SECONDS, TimeUnit.SECONDS);
@@ -90,47 +92,50 @@
         }
     }
 
-    /** All that a process says on standard output, until it ends. */
+    /** Returns everything that a process writes to standard output until it ends. */
     public static String all(String event, Process process) throws IOException {
         return all(event, process, process.inputReader(StandardCharsets.UTF_8));
     }
 
-    /** The rest of it, where some was read. */
+    /** Returns the rest of the output of a process, where some has been read already. */
     public static String all(String event, Process process, BufferedReader lines)
             throws IOException {
-        CompletableFuture<Void> over = new CompletableFuture<>();
-        over.orTimeout(LONGEST_SECONDS, TimeUnit.SECONDS)
+        CompletableFuture<Void> outputEnded = new CompletableFuture<>();
+        outputEnded
+                .orTimeout(LONGEST_SECONDS, TimeUnit.SECONDS)
                 .exceptionally(
                         late -> {
-                            process.toHandle().destroyForcibly(); // which ends what it says
+                            process.toHandle().destroyForcibly(); // which ends its output
                             return null;
                         });
-        StringBuilder said = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            said.append(line).append('\n');
+            output.append(line).append('\n');
         }
-        if (!over.complete(null)) {
-            throw never(event + "; it said:\n" + said);
+        if (!outputEnded.complete(null)) {
+            throw never(event + "; its output:\n" + output);
         }
-        return said.toString();
+        return output.toString();
     }
 
     /**
-     * Reads lines of a process up to the one that is looked for.
+     * Reads lines of a process until one matches.
      *
-     * @return all that were read, the one looked for being the last
+     * @return all lines that were read, the matching line last
      */
     public static String line(
             String event, Process process, BufferedReader lines, Predicate<String> wanted)
             throws IOException, InterruptedException {
-        StringBuilder said = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         long end = end();
         while (true) {
-            boolean ended = !process.isAlive(); // before the look: detects missing its last words
+            boolean ended =
+                    !process.isAlive(); // read before ready(), so that the last lines before its
+            // end are not missed
             if (!ended && !lines.ready()) {
                 if (System.nanoTime() - end > 0) {
                     process.destroyForcibly();
-                    throw never(event + "; the process said:\n" + said);
+                    throw never(event + "; output of the process:\n" + output);
                 }
                 Thread.sleep(1);
                 continue;
@@ -138,11 +143,11 @@
             String line = lines.readLine();
             if (line == null) {
                 throw new AssertionError(
-                        "the process ended without: " + event + "; it said:\n" + said);
+                        "the process ended before: " + event + "; its output:\n" + output);
             }
-            said.append(line).append('\n');
+            output.append(line).append('\n');
             if (wanted.test(line)) {
-                return said.toString();
+                return output.toString();
             }
         }
     }
--- a/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
+++ b/core/src/test/java/cedarrudder/balancer/BalancerParametersTest.java
@@ -11,10 +11,10 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The balancer's figures as a value. */
+/** Tests how balancer parameters are parsed and applied. */
 public class BalancerParametersTest {
 
-    private static String complaint(String assignment) {
+    private static String rejectionMessage(String assignment) {
         return expectThrows(
                         IllegalArgumentException.class,
                         () -> BalancerParametersParser.parse(List.of(assignment)))
@@ -22,14 +22,15 @@
     }
 
     @Test
-    public void aFigureIsSetByItsWrittenName() {
-        BalancerParameters tuning =
+    public void parameterIsSetByItsExternalName() {
+        BalancerParameters parameters =
                 BalancerParametersParser.parse(
                         List.of("max-age-ms=9", "rif-quantile=0.9", "max-age-ms=1500"));
-        assertEquals(tuning.get(Parameter.PROBE_MAX_AGE_MS), 1500.0);
-        assertEquals(tuning.nanos(Parameter.PROBE_MAX_AGE_MS), 1500 * Site.MS);
+        assertEquals(parameters.get(Parameter.PROBE_MAX_AGE_MS), 1500.0);
+        assertEquals(parameters.nanos(Parameter.PROBE_MAX_AGE_MS), 1500 * Site.MS);
         assertEquals(
-                BalancerParametersParser.differences(tuning), "max-age-ms=1500 rif-quantile=0.9");
+                BalancerParametersParser.differences(parameters),
+                "max-age-ms=1500 rif-quantile=0.9");
         assertEquals(
                 BalancerParametersParser.differences(
                         BalancerParametersParser.parse(List.of("rif-quantile=0.25"))),
@@ -38,35 +39,36 @@
     }
 
     @Test
-    public void aWrongOneIsRefusedWithWhatIsAllowed() {
+    public void invalidValueIsRejectedWithTheAllowedRange() {
         assertTrue(
-                complaint("pool=3")
+                rejectionMessage("pool=3")
                         .startsWith("unknown parameter 'pool'; known are probes-per-call, "));
-        for (String wrong : List.of("x", "", "NaN", "-1", "Infinity", "1.01")) {
-            String message = complaint("hold-share=" + wrong);
+        for (String invalid : List.of("x", "", "NaN", "-1", "Infinity", "1.01")) {
+            String message = rejectionMessage("hold-share=" + invalid);
             assertTrue(message.startsWith("hold-share: found "), message);
             assertTrue(message.endsWith(", allowed is a number from 0 to 1"), message);
         }
         assertEquals(
-                complaint("pool-size"), "pool-size: found '', allowed is a number from 1 to 256");
+                rejectionMessage("pool-size"),
+                "pool-size: found '', allowed is a number from 1 to 256");
     }
 
     @Test
-    public void everyFigureTakesTheEndsOfItsRange() {
+    public void everyParameterAcceptsTheEndsOfItsRange() {
         Site site = new Site();
-        for (Parameter figure : Parameter.values()) {
-            for (double value : new double[] {figure.min(), figure.max()}) {
-                Recorder did = new Recorder();
-                PrequalBalancer decide =
+        for (Parameter parameter : Parameter.values()) {
+            for (double value : new double[] {parameter.min(), parameter.max()}) {
+                Recorder recorder = new Recorder();
+                PrequalBalancer balancer =
                         new PrequalBalancer(
                                 site.settings(),
-                                BalancerParameters.DEFAULTS.with(figure, value),
+                                BalancerParameters.DEFAULTS.with(parameter, value),
                                 new SplittableRandom(1),
-                                did);
-                decide.onEndpoints(Site.SECOND, EndpointListKind.CACHED, Site.readyUpTo(4));
-                decide.onRequest(
+                                recorder);
+                balancer.onEndpoints(Site.SECOND, EndpointListKind.CACHED, Site.readyUpTo(4));
+                balancer.onRequest(
                         Site.SECOND, new Request(1, 0, 0, 3 * Site.SECOND, 0, false, false, 0));
-                assertEquals(did.sent.size(), 1, figure + "=" + value);
+                assertEquals(recorder.sent.size(), 1, parameter + "=" + value);
             }
         }
     }
--- a/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ClockBelowZeroTest.java
@@ -7,35 +7,38 @@
 import cedarrudder.admission.TenantQuotas;
 import org.testng.annotations.Test;
 
-/** An instant's zero means nothing: a clock may begin below it, and pass it at any time. */
+/**
+ * Zero has no special meaning as an instant: a clock may start below zero and pass zero at any
+ * time.
+ */
 public class ClockBelowZeroTest {
 
-    private static final long BEGIN = -10 * Site.SECOND;
+    private static final long START = -10 * Site.SECOND;
 
     /**
-     * Detects a tenant that counts as over its share until the clock has passed zero, and after.
+     * A tenant must not count as over its quota until the clock has passed zero, nor afterwards.
      */
     @Test
-    public void aTenantBeginsWithItsShare() {
-        assertFalse(new TenantQuotas(new double[] {10}, 1).isOverQuota(BEGIN, 0));
+    public void tenantStartsWithinItsQuota() {
+        assertFalse(new TenantQuotas(new double[] {10}, 1).isOverQuota(START, 0));
     }
 
-    /** Detects worths that are no numbers, by which nobody can be ordered. */
+    /** Priorities must not be NaN, since NaN cannot be ordered. */
     @Test
-    public void worthsAreNumbers() {
-        ClassPriority worth = new ClassPriority(2, 0.8, 0.2, 0.1);
-        long begin = 100_000 * BEGIN;
-        worth.onRequest(begin, 0, 1);
-        worth.onRequest(begin, 1, 1);
-        worth.onServed(begin, 1, 1);
+    public void prioritiesAreNumbers() {
+        ClassPriority priorities = new ClassPriority(2, 0.8, 0.2, 0.1);
+        long start = 100_000 * START;
+        priorities.onRequest(start, 0, 1);
+        priorities.onRequest(start, 1, 1);
+        priorities.onServed(start, 1, 1);
         assertTrue(
-                worth.priority(0, false) > worth.priority(1, false),
-                "who is served worst goes first");
+                priorities.priority(0, false) > priorities.priority(1, false),
+                "the class that is served worst has priority");
     }
 
-    /** Detects endpoints that count as out of connections until the clock has passed zero. */
+    /** Endpoints must not count as out of connections until the clock has passed zero. */
     @Test
-    public void anEndpointHasRoomForConnections() {
-        assertFalse(new EndpointState(Site.ready(1), BEGIN, 4, 0).isOutOfConnections(BEGIN));
+    public void endpointIsNotOutOfConnections() {
+        assertFalse(new EndpointState(Site.ready(1), START, 4, 0).isOutOfConnections(START));
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cedarrudder.balancer.ColdFleet.Deployment;
-import cedarrudder.balancer.ColdFleet.Seen;
+import cedarrudder.balancer.ColdFleet.Observation;
 import cedarrudder.balancer.ColdFleet.Trouble;
 import cedarrudder.balancer.ColdFleet.World;
 import java.util.ArrayList;
@@ -13,45 +13,45 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What all replicas together send to cold endpoints, beside what the standing test bears: N and two
- * roots of N and 2 requests, N being what the settings allow then. {@code -Dcold.tables=true}
- * prints docs/COLD.md's tables, in some minutes.
+ * Compares what all replicas together send to cold endpoints with the bound of the standing test: N
+ * + 2 sqrt(N) + 2 requests, N being what the settings allow at that time. {@code
+ * -Dcold.tables=true} prints the tables of docs/COLD.md, which takes some minutes.
  */
 class ColdBudgetTest {
-    private static final boolean TABLES = Boolean.getBoolean("cold.tables");
-    private static final int SEEDS = TABLES ? 3 : 1;
+    private static final boolean PRINT_TABLES = Boolean.getBoolean("cold.tables");
+    private static final int SEEDS = PRINT_TABLES ? 3 : 1;
 
-    /** Few replicas and many, and many replicas to an endpoint, each with few calls. */
+    /** Few and many replicas, and many replicas per endpoint with few requests each. */
     @ParameterizedTest
     @CsvSource({
         "1, 8", "5, 10", "15, 40", "20, 10", "30, 10", "30, 40", "100, 10", "100, 40", "500, 50"
     })
-    void copiesTogetherStayWithinTheBound(int replicas, int endpoints) {
+    void replicasTogetherStayWithinTheBound(int replicas, int endpoints) {
         double[] few = replicas < 500 ? new double[] {0, 1} : new double[] {1};
-        for (double cold : TABLES ? new double[] {0, 0.5, 0.9, 1} : few) {
+        for (double cold : PRINT_TABLES ? new double[] {0, 0.5, 0.9, 1} : few) {
             play(
                     ColdFleet.FIRST,
                     replicas,
                     endpoints,
                     cold,
-                    TABLES && replicas < 500
+                    PRINT_TABLES && replicas < 500
                             ? new double[] {0.1, 0.4, 0.7, 1.2}
                             : new double[] {1.2});
         }
     }
 
-    /** Settings are other elsewhere, and so is what replicas are told. */
+    /** Other settings, and replicas that are given other information. */
     @ParameterizedTest
     @CsvSource({"5, 10", "30, 10", "100, 10"})
-    void soTheyDoInOtherDeployments(int replicas, int endpoints) {
+    void replicasStayWithinTheBoundInOtherDeployments(int replicas, int endpoints) {
         for (Deployment deployment : ColdFleet.OTHERS) {
-            for (double cold : TABLES ? new double[] {0, 0.5, 1} : new double[] {0, 1}) {
+            for (double cold : PRINT_TABLES ? new double[] {0, 0.5, 1} : new double[] {0, 1}) {
                 play(
                         deployment,
                         replicas,
                         endpoints,
                         cold,
-                        TABLES ? new double[] {0.1, 0.4, 0.7, 1.2} : new double[] {1.2});
+                        PRINT_TABLES ? new double[] {0.1, 0.4, 0.7, 1.2} : new double[] {1.2});
             }
         }
     }
@@ -59,23 +59,23 @@
     private static void play(
             Deployment deployment, int replicas, int endpoints, double cold, double[] loads) {
         World world = null;
-        Seen worst = null;
+        Observation worst = null;
         double byWork = 0;
         double served = 0;
         int worlds = 0;
         int over = 0;
         for (double load : loads) {
             for (Trouble trouble : Trouble.values()) {
-                // A burst may come with the start, and after it.
+                // A burst may arrive with the start, and after it.
                 boolean burst = trouble == Trouble.BURST || trouble == Trouble.THRONG;
-                // A lone replica has nobody who could get its calls.
-                boolean lone =
+                // There is no other replica that could receive its requests.
+                boolean alone =
                         replicas == 1
                                 && (trouble == Trouble.SHIFT
                                         || trouble == Trouble.RESTART
                                         || trouble == Trouble.SEVEN_IN_TEN_DIE);
-                for (long after = burst ? 0 : 3; after <= 3 && !lone; after += 3) {
-                    World each =
+                for (long after = burst ? 0 : 3; after <= 3 && !alone; after += 3) {
+                    World scenario =
                             new World(
                                     replicas,
                                     endpoints,
@@ -87,18 +87,20 @@
                                     after * Site.SECOND,
                                     true);
                     for (long seed = 1; seed <= SEEDS; seed++) {
-                        Seen seen = ColdFleet.play(each, BalancerParameters.DEFAULTS, seed);
-                        served += seen.served();
+                        Observation observed =
+                                ColdFleet.run(scenario, BalancerParameters.DEFAULTS, seed);
+                        served += observed.served();
                         worlds++;
-                        over += seen.worst() > 1 ? 1 : 0;
-                        byWork = Math.max(byWork, seen.byWork());
-                        if (worst == null || seen.worst() > worst.worst()) {
-                            worst = seen;
-                            world = each;
+                        over += observed.worst() > 1 ? 1 : 0;
+                        byWork = Math.max(byWork, observed.byWork());
+                        if (worst == null || observed.worst() > worst.worst()) {
+                            worst = observed;
+                            world = scenario;
                         }
-                        // The tables show what is over, too.
+                        // The tables include the scenarios that exceed the bound.
                         assertTrue(
-                                seen.worst() <= 1 || TABLES, seen + ", seed " + seed + ", " + each);
+                                observed.worst() <= 1 || PRINT_TABLES,
+                                observed + ", seed " + seed + ", " + scenario);
                     }
                 }
             }
@@ -121,12 +123,12 @@
                 world.trouble());
     }
 
-    /** Detects a bound that nothing reaches: these replicas aren't told of the start. */
+    /** The bound must be reachable: these replicas are not informed of the cold start. */
     @ParameterizedTest
     @CsvSource({"15, 40", "100, 10", "100, 40"})
-    void withoutTheirGuardCopiesPushItOver(int replicas, int endpoints) {
-        Seen seen =
-                ColdFleet.play(
+    void replicasWithoutTheBudgetExceedTheBound(int replicas, int endpoints) {
+        Observation observed =
+                ColdFleet.run(
                         new World(
                                 replicas,
                                 endpoints,
@@ -139,45 +141,45 @@
                                 false),
                         BalancerParameters.DEFAULTS,
                         1);
-        System.out.println("seed 1, " + replicas + " copies that are not told: " + seen);
-        assertTrue(seen.worst() > 1, seen.toString());
+        System.out.println("seed 1, " + replicas + " replicas that are not informed: " + observed);
+        assertTrue(observed.worst() > 1, observed.toString());
     }
 
     /**
-     * The budget alone, under replicas that want nothing else than to send there: those that send
-     * as soon as it lets them, and those that all wait for one another and send at once.
+     * Tests the budget alone, with replicas that send all that it allows: either as soon as it
+     * allows a request, or all at the same time after waiting.
      */
     @ParameterizedTest
     @CsvSource({"1", "15", "100", "500"})
-    void theBudgetAloneBearsCopiesThatWantNothingElse(int replicas) {
+    void budgetAloneLimitsReplicasThatSendAllTheyMay(int replicas) {
         for (double capacity : new double[] {33, 5}) {
             for (int second = 0; second <= 20; second += 5) {
                 long from = second * Site.SECOND;
                 long until = from + ColdFleet.SAFETY.overloadWindowNanos();
                 double bound = ColdFleet.bound(ColdFleet.SAFETY, until, capacity);
-                int eager = greedy(replicas, capacity, from, false);
-                int atOnce = greedy(replicas, capacity, from, true);
+                int immediate = greedy(replicas, capacity, from, false);
+                int waiting = greedy(replicas, capacity, from, true);
                 double allowed = ColdFleet.allowed(ColdFleet.SAFETY, until, capacity);
                 System.out.printf(
                         "| %d | %.0f | %d | %.0f | %.0f | %d | %d |%n",
-                        replicas, capacity, second + 3, allowed, bound, eager, atOnce);
+                        replicas, capacity, second + 3, allowed, bound, immediate, waiting);
                 assertTrue(
-                        eager <= bound && atOnce <= bound,
-                        eager + " and " + atOnce + " of " + bound);
+                        immediate <= bound && waiting <= bound,
+                        immediate + " and " + waiting + " sent, allowed: " + bound);
             }
         }
     }
 
     /**
-     * Sends within the window from an instant on, at six tenths of the load that a warm endpoint
-     * can do.
+     * Returns the number of requests sent within the window that starts at an instant, at six
+     * tenths of the load that a warm endpoint can serve.
      */
-    private static int greedy(int replicas, double capacity, long from, boolean atOnce) {
+    private static int greedy(int replicas, double capacity, long from, boolean waiting) {
         SplittableRandom random = new SplittableRandom(7);
-        double[] part = random.doubles(replicas, 0.1, 1).map(d -> d > 0.8 ? 4 : d).toArray();
+        double[] rates = random.doubles(replicas, 0.1, 1).map(d -> d > 0.8 ? 4 : d).toArray();
         double sum = 0;
         List<EndpointState> servers = new ArrayList<>();
-        for (double p : part) {
+        for (double p : rates) {
             sum += p;
             servers.add(
                     new EndpointState(
@@ -191,11 +193,11 @@
                 now <= from + ColdFleet.SAFETY.overloadWindowNanos();
                 now += 20 * Site.MS) {
             for (int i = 0; i < replicas; i++) {
-                double rate = 0.6 * capacity * part[i] / sum;
+                double rate = 0.6 * capacity * rates[i] / sum;
                 while (servers.get(i)
                                 .withinSlowStartBudget(
                                         now, rate, BalancerParameters.DEFAULTS, ColdFleet.SAFETY)
-                        && (!atOnce || now > from)) {
+                        && (!waiting || now > from)) {
                     servers.get(i).onAttemptSent(now, 1);
                     sent += now > from ? 1 : 0;
                 }
--- a/core/src/test/java/cedarrudder/balancer/ColdFleet.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdFleet.java
@@ -19,19 +19,20 @@
 import java.util.stream.LongStream;
 
 /**
- * Replicas of the balancer and the endpoints of one tier in virtual time, some of which start cold
- * at {@link #COLD_AT}. Counts what reaches each of these within the time that the settings name,
- * beside {@link #bound}. The replicas send to a later tier, where nothing is rejected on its
- * coming, and who is refused or fails comes again twice. Everything follows from the seed.
+ * Simulates replicas of the balancer and the endpoints of one tier in virtual time; some endpoints
+ * start cold at {@link #COLD_AT}. Counts the requests that each cold endpoint receives within the
+ * overload window of the settings, and compares them with {@link #bound}. The replicas send to a
+ * later tier, which rejects nothing on arrival, and a client whose request is rejected or fails
+ * retries it twice. Everything follows from the seed.
  */
 final class ColdFleet {
 
     static final long COLD_AT = 6 * Site.SECOND;
 
-    /** The figures of the rules at the site that the program is built for. */
+    /** Safety rules of the first deployment. */
     static final SafetyRules SAFETY = safety(0.12, 23 * Site.SECOND, 3, 3 * Site.SECOND);
 
-    /** That site, and others whose settings are otherwise. */
+    /** The first deployment, and others with different settings. */
     static final Deployment FIRST = new Deployment("first", SAFETY, 1, true, true, 0);
 
     static final List<Deployment> OTHERS =
@@ -68,43 +69,45 @@
                 2 * Site.SECOND, coldShare, rampTime, fallMultiple, fallWindow, 10 * Site.SECOND);
     }
 
-    /** What happens to the replicas and the calls, {@link #after} the cold start. */
+    /** What happens to the replicas and the requests, {@link #after} the cold start. */
     enum Trouble {
         NONE,
-        /** For 3 s three times the calls come. */
+        /** Three times as many requests arrive, for 3 s. */
         BURST,
-        /** All calls go to other replicas than before. */
+        /** All requests are sent to other replicas than before. */
         SHIFT,
-        /** Seven in ten replicas die, and the others get their calls. */
+        /** Seven in ten replicas are killed, and the others receive their requests. */
         SEVEN_IN_TEN_DIE,
-        /** A second process of each replica starts, knowing no rate, and gets half of its calls. */
+        /**
+         * A second process of each replica starts without a known request rate and receives half of
+         * its requests.
+         */
         UPGRADE,
         /**
-         * Seven in ten replicas are killed at once, and are back a second later, knowing nothing.
+         * Seven in ten replicas are killed at once, and restart a second later without any state.
          */
         RESTART,
         /**
-         * A tenth of the replicas is killed in each second, and is back at once, knowing nothing.
+         * A tenth of the replicas is killed in each second, and restarts at once without any state.
          */
         ROLL,
         /**
-         * Half of the warm endpoints come back cold and a quarter more join, under a {@link
-         * #BURST}.
+         * Half of the warm endpoints restart cold and a quarter more join, under a {@link #BURST}.
          */
         THRONG,
-        /** All endpoints come back cold at once, while many calls are being answered. */
+        /** All endpoints restart cold at once, while many requests are being answered. */
         BLACKOUT
     }
 
     /**
      * What differs from one deployment to another.
      *
-     * @param cores of each endpoint
-     * @param hints whether replicas are told of each request's work, and so learn what an endpoint
-     *     may hold
-     * @param probes whether endpoints may be asked for their load
-     * @param spread how far what endpoints can do lies apart: a third does this much less, a third
-     *     so much more
+     * @param cores cores of each endpoint
+     * @param hints whether replicas are given the work of each request, and so learn the
+     *     concurrency limit of an endpoint
+     * @param probes whether endpoints may be probed for their load
+     * @param spread how much the capacities of endpoints differ: a third has this fraction less, a
+     *     third this fraction more
      */
     record Deployment(
             String name,
@@ -120,12 +123,13 @@
     }
 
     /**
-     * One world.
+     * One simulated scenario.
      *
-     * @param cold how many of the endpoints start cold
-     * @param capacity requests of mean work that a warm endpoint can do in a second
-     * @param load calls that come, as a part of what all endpoints could do if they were warm
-     * @param told whether the replicas are told of the start; if not, they go without their guard
+     * @param cold number of endpoints that start cold
+     * @param capacity requests of mean work per second that a warm endpoint can serve
+     * @param load arriving requests, as a fraction of the capacity of all endpoints when warm
+     * @param informed whether the replicas are informed of the cold start; otherwise the slow start
+     *     budget does not apply
      */
     record World(
             int replicas,
@@ -136,21 +140,22 @@
             Deployment deployment,
             Trouble trouble,
             long after,
-            boolean told) {}
+            boolean informed) {}
 
     /**
-     * What was seen at the cold endpoints.
+     * What was observed at the cold endpoints.
      *
-     * @param worst the most that came within the window, as a part of the bound at that moment
-     * @param count that, in requests
-     * @param bound and the bound, in requests
+     * @param worst the largest number of requests within the window, as a fraction of the bound at
+     *     that moment
+     * @param count that number, in requests
+     * @param bound that bound, in requests
      * @param atSecond seconds after the start
-     * @param byWork the same part, with each request counted by its own work; a heavy one alone may
-     *     pass it
-     * @param toCold all that came while cold
-     * @param served calls that were served, of those asked from the start of the world on
+     * @param byWork the same fraction, with each request counted by its own work; a single heavy
+     *     request may exceed 1
+     * @param toCold all requests that arrived while cold
+     * @param served fraction of the requests that were served, from the start of the scenario on
      */
-    record Seen(
+    record Observation(
             double worst,
             int count,
             double bound,
@@ -162,7 +167,7 @@
         public String toString() {
             return String.format(
                     Locale.ROOT,
-                    "%.2f (%d of %.1f at %.1f s), by work %.2f, %d in all, " + "%.3f served",
+                    "%.2f (%d of %.1f at %.1f s), by work %.2f, %d in total, " + "%.3f served",
                     worst,
                     count,
                     bound,
@@ -173,17 +178,17 @@
         }
     }
 
-    private record Came(long at, double work) {}
+    private record Arrival(long at, double work) {}
 
-    private record Event(long at, long number, Runnable what) {}
+    private record Event(long at, long order, Runnable what) {}
 
     private final class Node {
         final long startedAt;
         final double capacity;
-        final ArrayDeque<Came> came = new ArrayDeque<>();
+        final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
         final long[] busyUntil = new long[world.deployment.cores];
-        double workCame;
-        int holds;
+        double arrivedWork;
+        int inFlight;
 
         Node(long id, long startedAt) {
             this.startedAt = startedAt;
@@ -193,46 +198,54 @@
         double speed() {
             return capacity
                     / world.capacity
-                    * (startedAt == 0 ? 1 : share(safety, now - startedAt));
+                    * (startedAt == 0 ? 1 : capacityShare(safety, now - startedAt));
         }
 
-        /** Counts what comes while it is cold. */
+        /** Counts a request that arrives while the endpoint is cold. */
         private void count(double work) {
-            came.add(new Came(now, work));
-            workCame += work;
-            while (came.peek().at <= now - safety.overloadWindowNanos()) {
-                workCame -= came.remove().work;
+            arrivals.add(new Arrival(now, work));
+            arrivedWork += work;
+            while (arrivals.peek().at <= now - safety.overloadWindowNanos()) {
+                arrivedWork -= arrivals.remove().work;
             }
             toCold++;
             double bound = bound(safety, now - startedAt, capacity);
             double byWork =
-                    workCame * world.capacity / world.deployment.cores / Site.SECOND / bound;
-            if (came.size() / bound > seen.worst) {
-                seen =
-                        new Seen(
-                                came.size() / bound,
-                                came.size(),
+                    arrivedWork * world.capacity / world.deployment.cores / Site.SECOND / bound;
+            if (arrivals.size() / bound > observed.worst) {
+                observed =
+                        new Observation(
+                                arrivals.size() / bound,
+                                arrivals.size(),
                                 bound,
                                 (now - startedAt) / (double) Site.SECOND,
-                                seen.byWork,
+                                observed.byWork,
                                 0,
                                 0);
             }
-            if (byWork > seen.byWork) {
-                seen = new Seen(seen.worst, seen.count, seen.bound, seen.atSecond, byWork, 0, 0);
+            if (byWork > observed.byWork) {
+                observed =
+                        new Observation(
+                                observed.worst,
+                                observed.count,
+                                observed.bound,
+                                observed.atSecond,
+                                byWork,
+                                0,
+                                0);
             }
         }
 
-        void takes(Copy from, long request, int attempt, long id) {
-            double work = works.get(request);
+        void receive(Replica from, long request, int attempt, long id) {
+            double work = workOf.get(request);
             if (startedAt != 0 && now - startedAt < safety.slowStartNanos()) {
                 count(work);
             }
-            if (holds >= 20) {
-                later(now, () -> from.ended(request, attempt, id, Outcome.REJECTED, 0));
+            if (inFlight >= 20) {
+                schedule(now, () -> from.ended(request, attempt, id, Outcome.REJECTED, 0));
                 return;
             }
-            holds++;
+            inFlight++;
             long sentAt = now;
             int core =
                     IntStream.range(0, busyUntil.length)
@@ -241,29 +254,29 @@
                             .get();
             busyUntil[core] = Math.max(now, busyUntil[core]) + (long) (work / speed());
             long until = Math.min(busyUntil[core], from.deadlines.get(request));
-            Outcome how = busyUntil[core] <= until ? Outcome.OK : Outcome.TIMEOUT;
-            later(
+            Outcome result = busyUntil[core] <= until ? Outcome.OK : Outcome.TIMEOUT;
+            schedule(
                     until,
                     () -> {
-                        holds--;
-                        // What it was at work on when it came back cold is lost.
+                        inFlight--;
+                        // The requests that it was serving when it restarted cold are lost.
                         from.ended(
                                 request,
                                 attempt,
                                 id,
-                                nodes.get(id) == this ? how : Outcome.RESET,
+                                nodes.get(id) == this ? result : Outcome.RESET,
                                 now - sentAt);
                     });
         }
     }
 
-    private final class Copy implements LoadBalancer.Actions {
-        final LoadBalancer module;
+    private final class Replica implements LoadBalancer.Actions {
+        final LoadBalancer balancer;
         final Map<Long, Long> deadlines = new HashMap<>();
         final Map<Long, Integer> attempts = new HashMap<>();
-        boolean dead;
+        boolean killed;
 
-        Copy(int self, long seed) {
+        Replica(int self, long seed) {
             Site site = new Site();
             site.replicas = world.replicas;
             site.probes = world.deployment.probes;
@@ -274,14 +287,14 @@
                                     "status",
                                     BalancerSettings.Idempotency.SAFE,
                                     BalancerSettings.KeyScope.ALL,
-                                    aim,
-                                    patience,
+                                    latencyObjective,
+                                    deadlineTimeout,
                                     1,
                                     0,
                                     Site.SECOND,
                                     false));
             BalancerSettings s = site.settings();
-            module =
+            balancer =
                     new PrequalBalancer(
                             new BalancerSettings(
                                     s.replicas(),
@@ -296,18 +309,18 @@
                                     safety,
                                     s.goal(),
                                     s.prices()),
-                            tuning,
+                            parameters,
                             new SplittableRandom(seed),
                             this);
-            module.onEndpoints(now, EndpointListKind.CACHED, listed);
+            balancer.onEndpoints(now, EndpointListKind.CACHED, endpointList);
         }
 
-        void call(long id, int tries, double work) {
-            long until = now + patience;
+        void call(long id, int retries, double work) {
+            long until = now + deadlineTimeout;
             deadlines.put(id, until);
-            triesLeft.put(id, tries);
-            works.put(id, work);
-            module.onRequest(
+            retriesLeft.put(id, retries);
+            workOf.put(id, work);
+            balancer.onRequest(
                     now,
                     new Request(
                             id,
@@ -321,72 +334,73 @@
         }
 
         void ended(long request, int attempt, long node, Outcome outcome, long latency) {
-            if (!dead) {
-                boolean settled = outcome == Outcome.OK && triesLeft.containsKey(request);
+            if (!killed) {
+                boolean settled = outcome == Outcome.OK && retriesLeft.containsKey(request);
                 if (settled) {
-                    triesLeft.remove(request);
+                    retriesLeft.remove(request);
                     served++;
                 }
-                module.onAttemptEnded(now, request, attempt, node, outcome, latency, settled, null);
+                balancer.onAttemptEnded(
+                        now, request, attempt, node, outcome, latency, settled, null);
             }
         }
 
         @Override
         public void startAttempt(long request, long endpoint, long timeout) {
             int attempt = attempts.merge(request, 1, Integer::sum) - 1;
-            later(now, () -> nodes.get(endpoint).takes(this, request, attempt, endpoint));
+            schedule(now, () -> nodes.get(endpoint).receive(this, request, attempt, endpoint));
         }
 
         @Override
         public void reject(long request, long retryAfter) {
-            over(request);
+            retryByClient(request);
         }
 
         @Override
         public void fail(long request) {
-            over(request);
+            retryByClient(request);
         }
 
-        /** Killed: the clients of all its calls come again. */
-        void die() {
-            dead = true;
-            deadlines.keySet().forEach(this::over);
+        /** Kills the replica: the clients of all its requests retry. */
+        void kill() {
+            killed = true;
+            deadlines.keySet().forEach(this::retryByClient);
         }
 
-        /** Its client comes again, with what is left of its tries, to any replica. */
-        private void over(long request) {
-            Integer tries = triesLeft.remove(request);
-            if (tries != null && tries > 0) {
-                later(
+        /** The client retries the request at any replica, if it has retries left. */
+        private void retryByClient(long request) {
+            Integer retries = retriesLeft.remove(request);
+            if (retries != null && retries > 0) {
+                schedule(
                         now + (long) (random.nextDouble(0.015, 0.12) * Site.SECOND),
-                        () -> deal(tries - 1, works.get(request)));
+                        () -> dispatch(retries - 1, workOf.get(request)));
             }
         }
 
         @Override
         public void sendProbe(long endpoint) {
-            later(
+            schedule(
                     now + Site.MS,
                     () -> {
-                        if (!dead) {
+                        if (!killed) {
                             Node node = nodes.get(endpoint);
-                            module.onProbeEnded(
+                            balancer.onProbeEnded(
                                     now,
                                     endpoint,
                                     Outcome.OK,
                                     Site.MS,
-                                    Site.load(node.holds, meanWork / Site.MS / node.speed()));
+                                    Site.load(node.inFlight, meanWork / Site.MS / node.speed()));
                         }
                     });
         }
 
         @Override
         public void scheduleTimer(long at, long token) {
-            later(
+            schedule(
                     at,
                     () -> {
-                        if (!dead) {
-                            module.onTimer(now, token);
+                        if (!killed) {
+                            balancer.onTimer(now, token);
                         }
                     });
         }
@@ -411,108 +425,112 @@
     }
 
     private final World world;
-    private final BalancerParameters tuning;
+    private final BalancerParameters parameters;
     private final SplittableRandom random;
     private final SafetyRules safety;
 
-    /** Of a request, on one core of a warm endpoint; nanoseconds. */
+    /** Mean work of a request on one core of a warm endpoint, in nanoseconds. */
     private final double meanWork;
 
-    private final long aim;
-    private final long patience;
+    private final long latencyObjective;
+    private final long deadlineTimeout;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
+                    Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     private final Map<Long, Node> nodes = new HashMap<>();
-    private final Map<Long, Integer> triesLeft = new HashMap<>();
-    private final Map<Long, Double> works = new HashMap<>();
+    private final Map<Long, Integer> retriesLeft = new HashMap<>();
+    private final Map<Long, Double> workOf = new HashMap<>();
 
-    /** What discovery has: what a replica that starts now is told. */
-    private final List<Endpoint> listed = new ArrayList<>();
+    /** The endpoint list of discovery, which a starting replica receives. */
+    private final List<Endpoint> endpointList = new ArrayList<>();
 
-    private final List<Copy> replicas = new ArrayList<>();
+    private final List<Replica> replicas = new ArrayList<>();
     private final double[] weights;
-    private Seen seen = new Seen(0, 0, 0, 0, 0, 0, 0);
+    private Observation observed = new Observation(0, 0, 0, 0, 0, 0, 0);
     private long now = 1;
-    private long number;
-    private long ids;
+    private long order;
+    private long lastRequest;
     private int toCold;
     private int served;
-    private int asked;
+    private int arrived;
 
-    private ColdFleet(World world, BalancerParameters tuning, long seed) {
+    private ColdFleet(World world, BalancerParameters parameters, long seed) {
         this.world = world;
-        this.tuning = tuning;
+        this.parameters = parameters;
         this.random = new SplittableRandom(seed);
         this.safety = world.deployment.safety;
         this.meanWork = world.deployment.cores * Site.SECOND / world.capacity;
-        this.aim = (long) (10 * meanWork);
-        this.patience = 5 * aim / 2;
+        this.latencyObjective = (long) (10 * meanWork);
+        this.deadlineTimeout = 5 * latencyObjective / 2;
         for (long id = world.cold + 1; id <= world.endpoints; id++) {
             start(id, 0);
         }
         weights = new double[world.replicas];
         for (int i = 0; i < weights.length; i++) {
-            replicas.add(new Copy(i, random.nextLong()));
-            // Some see several times the mean.
+            replicas.add(new Replica(i, random.nextLong()));
+            // Some replicas receive several times the mean.
             weights[i] = random.nextInt(5) == 0 ? 4 : random.nextDouble(0.1, 1);
         }
     }
 
-    /** An endpoint is there from now on, in a new life; returns what discovery says of it. */
+    /** Starts an endpoint in a new incarnation; returns its entry in the list of discovery. */
     private Endpoint start(long id, long at) {
         nodes.put(id, new Node(id, at));
-        Endpoint entry = Site.endpoint(id, 0, 0, EndpointStatus.READY, world.told ? at : 0);
-        listed.removeIf(e -> e.id() == id);
-        listed.add(entry);
+        Endpoint entry = Site.endpoint(id, 0, 0, EndpointStatus.READY, world.informed ? at : 0);
+        endpointList.removeIf(e -> e.id() == id);
+        endpointList.add(entry);
         return entry;
     }
 
     private void startCold(long from, long to) {
-        List<Endpoint> fresh =
+        List<Endpoint> started =
                 LongStream.rangeClosed(from, to).mapToObj(id -> start(id, now)).toList();
         replicas.stream()
-                .filter(c -> !c.dead)
-                .forEach(c -> c.module.onEndpoints(now, EndpointListKind.DELTA, fresh));
+                .filter(c -> !c.killed)
+                .forEach(c -> c.balancer.onEndpoints(now, EndpointListKind.DELTA, started));
     }
 
-    /** Plays a world to the end of the warm-up. */
-    static Seen play(World world, BalancerParameters tuning, long seed) {
-        return new ColdFleet(world, tuning, seed).play();
+    /** Runs a scenario to the end of the warm-up. */
+    static Observation run(World world, BalancerParameters parameters, long seed) {
+        return new ColdFleet(world, parameters, seed).run();
     }
 
-    /** The share of its capacity that an endpoint has at this age. */
-    static double share(SafetyRules safety, long age) {
+    /** Returns the fraction of its capacity that an endpoint of this age has. */
+    static double capacityShare(SafetyRules safety, long age) {
         return safety.coldCapacityShare()
                 + (1 - safety.coldCapacityShare())
                         * Math.min(1, age / (double) safety.slowStartNanos());
     }
 
     /**
-     * What the settings allow an endpoint of this age within the window, in requests of mean work.
+     * Returns what the settings allow an endpoint of this age within the window, in requests of
+     * mean work.
      */
     static double allowed(SafetyRules safety, long age, double capacity) {
         return safety.overloadMultiple()
-                * share(safety, age)
+                * capacityShare(safety, age)
                 * capacity
                 * safety.overloadWindowNanos()
                 / 1e9;
     }
 
-    /** More than this pushes it over. */
+    /**
+     * Returns the number of requests within the window above which an endpoint counts as
+     * overloaded.
+     */
     static double bound(SafetyRules safety, long age, double capacity) {
         double allowed = allowed(safety, age, capacity);
         return allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
-    private void later(long at, Runnable what) {
-        events.add(new Event(Math.max(at, now), number++, what));
+    private void schedule(long at, Runnable what) {
+        events.add(new Event(Math.max(at, now), order++, what));
     }
 
-    private Seen play() {
-        later(COLD_AT, () -> startCold(1, world.cold));
-        later(COLD_AT + world.after, this::trouble);
-        later(now, this::arrive);
+    private Observation run() {
+        schedule(COLD_AT, () -> startCold(1, world.cold));
+        schedule(COLD_AT + world.after, this::disturb);
+        schedule(now, this::arrive);
         long end =
                 COLD_AT
                         + (world.trouble == Trouble.THRONG || world.trouble == Trouble.BLACKOUT
@@ -524,14 +542,14 @@
             now = event.at;
             event.what.run();
         }
-        return new Seen(
-                seen.worst,
-                seen.count,
-                seen.bound,
-                seen.atSecond,
-                seen.byWork,
+        return new Observation(
+                observed.worst,
+                observed.count,
+                observed.bound,
+                observed.atSecond,
+                observed.byWork,
                 toCold,
-                served / (double) asked);
+                served / (double) arrived);
     }
 
     private void arrive() {
@@ -540,23 +558,23 @@
                         && now >= COLD_AT + world.after
                         && now < COLD_AT + world.after + 3 * Site.SECOND;
         double rate = world.load * world.endpoints * world.capacity * (burst ? 3 : 1);
-        asked++;
-        deal(2, -Math.log(1 - random.nextDouble()) * meanWork);
-        later(
+        arrived++;
+        dispatch(2, -Math.log(1 - random.nextDouble()) * meanWork);
+        schedule(
                 now + 1 + (long) (-Math.log(1 - random.nextDouble()) * Site.SECOND / rate),
                 this::arrive);
     }
 
-    private void deal(int tries, double work) {
+    private void dispatch(int retries, double work) {
         int at;
         do {
             at = random.nextInt(weights.length);
-        } while (random.nextDouble() * 4 > weights[at] || replicas.get(at).dead);
+        } while (random.nextDouble() * 4 > weights[at] || replicas.get(at).killed);
         boolean second = replicas.size() > weights.length && random.nextBoolean();
-        replicas.get(second ? at + weights.length : at).call(++ids, tries, work);
+        replicas.get(second ? at + weights.length : at).call(++lastRequest, retries, work);
     }
 
-    private void trouble() {
+    private void disturb() {
         switch (world.trouble) {
             case SHIFT -> {
                 for (int i = 0; i < weights.length; i++) {
@@ -566,27 +584,27 @@
             case SEVEN_IN_TEN_DIE -> killSevenInTen();
             case RESTART -> {
                 killSevenInTen();
-                later(
+                schedule(
                         now + Site.SECOND,
                         () ->
                                 IntStream.range(0, weights.length)
-                                        .filter(i -> replicas.get(i).dead)
+                                        .filter(i -> replicas.get(i).killed)
                                         .forEach(this::restart));
             }
             case ROLL -> {
                 for (int i = 0; i < weights.length; i++) {
                     int self = i;
-                    later(
+                    schedule(
                             now + i * 10L / weights.length * Site.SECOND,
                             () -> {
-                                replicas.get(self).die();
+                                replicas.get(self).kill();
                                 restart(self);
                             });
                 }
             }
             case UPGRADE -> {
                 for (int i = 0; i < weights.length; i++) {
-                    replicas.add(new Copy(i, random.nextLong()));
+                    replicas.add(new Replica(i, random.nextLong()));
                 }
             }
             case THRONG ->
@@ -599,11 +617,11 @@
     private void killSevenInTen() {
         IntStream.range(0, weights.length)
                 .filter(i -> i % 10 >= 3)
-                .forEach(i -> replicas.get(i).die());
+                .forEach(i -> replicas.get(i).kill());
     }
 
-    /** A new life of a replica knows what discovery says, and nothing else. */
+    /** Starts a new incarnation of a replica, which knows only the list of discovery. */
     private void restart(int self) {
-        replicas.set(self, new Copy(self, random.nextLong()));
+        replicas.set(self, new Replica(self, random.nextLong()));
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdStartTest.java
@@ -15,19 +15,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * Many replicas, each alone, and an endpoint that has just started: together they must not push it
- * over.
- */
+/** Many independent replicas together must not overload an endpoint that has just started. */
 class ColdStartTest {
     private static final long MS = Site.MS;
     private static final int WARM = 5;
     private static final long COLD = 99;
 
-    /** How long a request lasts. */
-    private static final long LASTS = 50 * MS;
+    /** Duration of a request, in nanoseconds. */
+    private static final long REQUEST_DURATION = 50 * MS;
 
-    private record Out(long until, PrequalBalancer at, Recorder.Sent sent) {}
+    private record InFlight(long until, PrequalBalancer balancer, Recorder.Sent sent) {}
 
     @ParameterizedTest
     @CsvSource({
@@ -40,84 +37,96 @@
         "5, 2, 400",
         "40, 2, 4000"
     })
-    void manyCopiesTogetherStayWithinTheBudget(int replicas, int processes, int requestsPerSecond) {
+    void manyReplicasTogetherStayWithinTheBudget(
+            int replicas, int processes, int requestsPerSecond) {
         long start = 1000 * Site.SECOND;
-        List<PrequalBalancer> decides = new ArrayList<>();
-        List<Recorder> did = new ArrayList<>();
+        List<PrequalBalancer> balancers = new ArrayList<>();
+        List<Recorder> recorders = new ArrayList<>();
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
         site.replicas = replicas;
-        // Of two processes of a replica, as in an upgrade, the second gets its part of the calls a
-        // second before
-        // the endpoint starts. Detects two whole budgets where the users count one proxy.
+        // Where a replica has two processes, as in an upgrade, the second receives its fraction of
+        // the requests from a second before the endpoint starts. The two must not use two whole
+        // budgets, since the settings count one proxy.
         for (int i = 0; i < replicas * processes; i++) {
             site.self = i % replicas;
-            did.add(new Recorder());
-            decides.add(new PrequalBalancer(site.settings(), new SplittableRandom(i), did.get(i)));
-            decides.get(i).onEndpoints(start, EndpointListKind.CACHED, Site.readyUpTo(WARM));
+            recorders.add(new Recorder());
+            balancers.add(
+                    new PrequalBalancer(
+                            site.settings(), new SplittableRandom(i), recorders.get(i)));
+            balancers.get(i).onEndpoints(start, EndpointListKind.CACHED, Site.readyUpTo(WARM));
         }
         SafetyRules safety = site.settings().safety();
         long coldFrom = start + 5 * Site.SECOND;
         long step = Site.SECOND / requestsPerSecond;
         ArrayDeque<Long> toCold = new ArrayDeque<>();
-        ArrayDeque<Out> out = new ArrayDeque<>();
+        ArrayDeque<InFlight> inFlight = new ArrayDeque<>();
         int sentToCold = 0;
         SplittableRandom random = new SplittableRandom(3);
-        boolean told = false;
+        boolean announced = false;
         long id = 0;
         for (long now = start; now < coldFrom + 12 * Site.SECOND; now += step) {
-            if (!told && now >= coldFrom) {
-                told = true;
+            if (!announced && now >= coldFrom) {
+                announced = true;
                 Endpoint cold = Site.endpoint(COLD, 0, 0, EndpointStatus.READY, coldFrom);
-                for (PrequalBalancer decide : decides) {
-                    decide.onEndpoints(now, EndpointListKind.DELTA, List.of(cold));
+                for (PrequalBalancer balancer : balancers) {
+                    balancer.onEndpoints(now, EndpointListKind.DELTA, List.of(cold));
                 }
             }
-            int at = random.nextInt(now < coldFrom - Site.SECOND ? replicas : decides.size());
-            PrequalBalancer decide = decides.get(at);
-            Recorder recorder = did.get(at);
+            int at = random.nextInt(now < coldFrom - Site.SECOND ? replicas : balancers.size());
+            PrequalBalancer balancer = balancers.get(at);
+            Recorder recorder = recorders.get(at);
             recorder.clear();
-            decide.onRequest(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
+            balancer.onRequest(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
             for (long probe : List.copyOf(recorder.probed)) {
-                // The fresh endpoint reads empty and quick, as fresh ones do.
-                boolean fresh = probe == COLD;
-                decide.onProbeEnded(
-                        now, probe, Outcome.OK, 0, Site.load(fresh ? 0 : 4, fresh ? 1 : 20));
+                // The endpoint that has just started reports itself empty and fast.
+                boolean isCold = probe == COLD;
+                balancer.onProbeEnded(
+                        now, probe, Outcome.OK, 0, Site.load(isCold ? 0 : 4, isCold ? 1 : 20));
             }
             for (Recorder.Sent sent : List.copyOf(recorder.sent)) {
                 if (sent.endpoint() == COLD) {
                     toCold.add(now);
                     sentToCold++;
                 }
-                out.add(new Out(now + LASTS, decide, sent));
+                inFlight.add(new InFlight(now + REQUEST_DURATION, balancer, sent));
             }
-            while (!out.isEmpty() && out.peek().until <= now) {
-                Out done = out.remove();
+            while (!inFlight.isEmpty() && inFlight.peek().until <= now) {
+                InFlight done = inFlight.remove();
                 Recorder.Sent sent = done.sent;
-                done.at.onAttemptEnded(
-                        now, sent.request(), 0, sent.endpoint(), Outcome.OK, LASTS, true, null);
+                done.balancer.onAttemptEnded(
+                        now,
+                        sent.request(),
+                        0,
+                        sent.endpoint(),
+                        Outcome.OK,
+                        REQUEST_DURATION,
+                        true,
+                        null);
             }
             while (!toCold.isEmpty() && toCold.peek() <= now - safety.overloadWindowNanos()) {
                 toCold.remove();
             }
-            if (told && now < coldFrom + safety.slowStartNanos()) {
+            if (announced && now < coldFrom + safety.slowStartNanos()) {
                 double ramp = (now - coldFrom) / (double) safety.slowStartNanos();
-                double part = safety.coldCapacityShare() + (1 - safety.coldCapacityShare()) * ramp;
-                // Warm endpoints bear this much each, so they can do that at least.
-                double canDo = requestsPerSecond / (double) WARM * part;
-                double max = safety.overloadMultiple() * canDo * safety.overloadWindowNanos() / 1e9;
+                double capacityShare =
+                        safety.coldCapacityShare() + (1 - safety.coldCapacityShare()) * ramp;
+                // Each warm endpoint receives this many requests, so its capacity is at least that.
+                double capacity = requestsPerSecond / (double) WARM * capacityShare;
+                double max =
+                        safety.overloadMultiple() * capacity * safety.overloadWindowNanos() / 1e9;
                 assertTrue(
                         toCold.size() <= max,
                         toCold.size()
-                                + " sent in a window, "
+                                + " requests sent in a window, "
                                 + max
                                 + " allowed, "
                                 + (now - coldFrom) / MS
-                                + " ms after its start");
+                                + " ms after the start of the endpoint");
             }
         }
         assertTrue(
                 sentToCold > requestsPerSecond / 10,
-                "and it is used while it warms: " + sentToCold);
+                "the endpoint is used while it warms up: " + sentToCold);
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
+++ b/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
@@ -17,29 +17,34 @@
 import org.testng.annotations.Test;
 
 /**
- * The list's clock in virtual time: replicas of a proxy, each with its module, and one discovery.
+ * Tests the schedule of endpoint list requests in virtual time: replicas of a proxy, each with its
+ * balancer, and one discovery service.
  */
 public class DiscoveryPollScheduleTest {
 
     private static final long MS = 1_000_000;
     private static final long S = 1000 * MS;
 
-    /** Each way over the wire takes so long at most, and a connection may come up so late. */
+    /**
+     * Maximum one-way delay of the network; the opening of a connection may be delayed by up to
+     * {@link #MAX_DELAY}.
+     */
     private static final long WIRE = 21 * MS;
 
-    private static final long LATE = S;
+    private static final long MAX_DELAY = S;
 
-    /** The loop reads before it judges. */
-    private static final long TURN = MS;
+    /** Delay of a timer: the event loop handles input before timers. */
+    private static final long LOOP_DELAY = MS;
 
     /**
-     * The system sends the first packet of a connection again this long after it was lost, and ever
-     * later.
+     * Delays after which the operating system retransmits the first packet of a connection, each
+     * longer than the last.
      */
-    private static final long[] SENT_AGAIN = {S, 2 * S, 4 * S, 8 * S, 16 * S};
+    private static final long[] SYN_RETRANSMIT_DELAYS = {S, 2 * S, 4 * S, 8 * S, 16 * S};
 
     /**
-     * How discovery is; SILENT: it takes connections and says nothing; CUT: all packets are lost.
+     * State of discovery. SILENT: it accepts connections and sends nothing; CUT: all packets are
+     * lost.
      */
     private enum Discovery {
         WELL,
@@ -49,49 +54,49 @@
         BUSY
     }
 
-    private static boolean endsWatches(Discovery state) {
+    private static boolean closesWatches(Discovery state) {
         return state == Discovery.DOWN || state == Discovery.BUSY;
     }
 
     private static final class World {
         private record Due(long at, long order, Runnable task) {}
 
-        private final PriorityQueue<Due> agenda =
+        private final PriorityQueue<Due> dueTasks =
                 new PriorityQueue<>(
                         (a, b) ->
                                 a.at != b.at
                                         ? Long.compare(a.at, b.at)
                                         : Long.compare(a.order, b.order));
         private final SplittableRandom random;
-        private final List<Copy> replicas = new ArrayList<>();
+        private final List<Replica> replicas = new ArrayList<>();
         private final int perSecond;
-        private final boolean ask;
+        private final boolean polls;
         private Discovery state = Discovery.WELL;
         private long now = 5 * S;
         private long order;
         private long workerFreeAt;
-        private long late;
-        private boolean lateByChance;
-        private int dials;
+        private long connectionDelay;
+        private boolean randomDelay;
+        private int connections;
         private int unanswered;
         private final List<Long> calls = new ArrayList<>();
 
-        World(long seed, int replicas, int perSecond, boolean ask) {
+        World(long seed, int replicas, int perSecond, boolean polls) {
             this.random = new SplittableRandom(seed);
             this.perSecond = perSecond;
-            this.ask = ask;
+            this.polls = polls;
             for (int i = 0; i < replicas; i++) {
-                this.replicas.add(new Copy());
+                this.replicas.add(new Replica());
             }
         }
 
         void at(long when, Runnable task) {
-            agenda.add(new Due(when, order++, task));
+            dueTasks.add(new Due(when, order++, task));
         }
 
         void run(long until) {
-            while (!agenda.isEmpty() && agenda.peek().at <= until) {
-                Due next = agenda.poll();
+            while (!dueTasks.isEmpty() && dueTasks.peek().at <= until) {
+                Due next = dueTasks.poll();
                 now = next.at;
                 next.task.run();
             }
@@ -99,22 +104,22 @@
         }
 
         /**
-         * From now on discovery is like this: where it is down or busy all watches end, else they
-         * fall silent.
+         * Sets the state of discovery. If it is down or busy, all watches end; otherwise they
+         * become silent.
          */
-        void become(Discovery next) {
+        void setState(Discovery next) {
             state = next;
-            for (Copy replica : replicas) {
+            for (Replica replica : replicas) {
                 List<Integer> open = List.copyOf(replica.open);
-                if (endsWatches(next)) {
-                    open.forEach(replica::broke);
+                if (closesWatches(next)) {
+                    open.forEach(replica::callBroke);
                 } else if (next != Discovery.WELL) {
-                    replica.open.clear(); // nothing comes on them any more
+                    replica.open.clear(); // nothing arrives on them any more
                 }
             }
         }
 
-        /** How many calls came in each such time from an instant on. */
+        /** Counts the requests in consecutive intervals of the given length from an instant on. */
         int[] counts(long from, long each, int times) {
             int[] counts = new int[times];
             calls.stream()
@@ -124,10 +129,11 @@
         }
 
         /**
-         * When the last replica was told for the first time after an instant; -1 where one was not.
+         * Returns the time from an instant until every replica has been updated, or -1 if one has
+         * not.
          */
-        long allTold(long from) {
-            return replicas.stream().anyMatch(replica -> replica.toldAt < from)
+        long allUpdatedAfter(long from) {
+            return replicas.stream().anyMatch(replica -> replica.lastUpdateAt < from)
                     ? -1
                     : replicas.stream()
                                     .mapToLong(replica -> replica.firstAfter(from))
@@ -136,27 +142,27 @@
                             - from;
         }
 
-        private final class Copy implements DiscoveryPollSchedule.Actions {
+        private final class Replica implements DiscoveryPollSchedule.Actions {
             private final SplittableRandom own = random.split();
-            private final DiscoveryPollSchedule clock =
+            private final DiscoveryPollSchedule schedule =
                     new DiscoveryPollSchedule(
                             true,
-                            DiscoveryPollSchedule.maxBackoffNanos(site(ask)),
+                            DiscoveryPollSchedule.maxBackoffNanos(settings(polls)),
                             DiscoveryTimeouts.DEFAULT,
                             own.split(),
                             this);
-            private final LoadBalancer module;
+            private final LoadBalancer balancer;
             private final Set<Integer> open = new HashSet<>();
-            private final List<Long> told = new ArrayList<>();
-            private long toldAt = Long.MIN_VALUE;
-            private long armed;
-            private Link spare;
+            private final List<Long> updates = new ArrayList<>();
+            private long lastUpdateAt = Long.MIN_VALUE;
+            private long timerAt;
+            private Connection spare;
 
-            /** This many calls get a refusal from a discovery that is well. */
-            private int refuses;
+            /** Number of requests of this replica that a healthy discovery still refuses. */
+            private int refusals;
 
-            Copy() {
-                LoadBalancer.Actions hands =
+            Replica() {
+                LoadBalancer.Actions actions =
                         (LoadBalancer.Actions)
                                 Proxy.newProxyInstance(
                                         LoadBalancer.class.getClassLoader(),
@@ -165,36 +171,39 @@
                                             if (method.getName().equals("scheduleTimer")) {
                                                 at((long) args[0], () -> tick((long) args[1]));
                                             } else if (method.getName().equals("watchEndpoints")) {
-                                                clock.poll(now);
+                                                schedule.poll(now);
                                             }
                                             return null;
                                         });
-                module = new PrequalBalancer(site(ask), own.split(), hands);
+                balancer = new PrequalBalancer(settings(polls), own.split(), actions);
                 at(
                         now,
                         () -> {
-                            if (!ask) {
-                                clock.poll(now);
+                            if (!polls) {
+                                schedule.poll(now);
                             }
-                            module.onEndpoints(now, EndpointListKind.CACHED, List.of());
+                            balancer.onEndpoints(now, EndpointListKind.CACHED, List.of());
                         });
             }
 
-            /** Not the balancer's ticks: they would only cost the test its time. */
+            /**
+             * Fires a timer of the balancer. Its periodic tick, token 0, is left out: it would only
+             * make the test slower.
+             */
             private void tick(long token) {
                 if (token != 0) {
-                    module.onTimer(now, token);
+                    balancer.onTimer(now, token);
                 }
             }
 
             long firstAfter(long from) {
-                return told.stream().filter(at -> at >= from).findFirst().orElseThrow();
+                return updates.stream().filter(at -> at >= from).findFirst().orElseThrow();
             }
 
             @Override
             public void open(int call) {
                 open.add(call);
-                Link link = spare != null && spare.serves() ? spare : new Link();
+                Connection link = spare != null && spare.isUsable() ? spare : new Connection();
                 spare = null;
                 link.call = call;
                 link.send();
@@ -202,95 +211,98 @@
 
             @Override
             public void dialSpare(boolean wanted) {
-                spare = wanted ? new Link() : null;
+                spare = wanted ? new Connection() : null;
             }
 
-            /** A connection, and the call on it; as the client has them. */
-            private final class Link {
-                private final long dialledAt = now;
+            /** A connection of the client and the request sent on it. */
+            private final class Connection {
+                private final long openedAt = now;
                 private boolean up;
-                private boolean over;
+                private boolean failed;
                 private int call;
 
-                Link() {
-                    dials++;
-                    long own = lateByChance && late > 0 ? random.nextLong(late) : late;
-                    at(now + own + WIRE, () -> reach(0));
+                Connection() {
+                    connections++;
+                    long delay =
+                            randomDelay && connectionDelay > 0
+                                    ? random.nextLong(connectionDelay)
+                                    : connectionDelay;
+                    at(now + delay + WIRE, () -> synArrives(0));
                 }
 
-                boolean serves() {
-                    return !over && (up || now - dialledAt < LATE + 50 * MS);
+                boolean isUsable() {
+                    return !failed && (up || now - openedAt < MAX_DELAY + 50 * MS);
                 }
 
-                private void reach(int lost) {
-                    if (state == Discovery.CUT && lost < SENT_AGAIN.length) {
-                        at(now + SENT_AGAIN[lost], () -> reach(lost + 1));
+                private void synArrives(int lost) {
+                    if (state == Discovery.CUT && lost < SYN_RETRANSMIT_DELAYS.length) {
+                        at(now + SYN_RETRANSMIT_DELAYS[lost], () -> synArrives(lost + 1));
                     } else if (state != Discovery.CUT) {
-                        boolean refuses = state == Discovery.DOWN;
+                        boolean refused = state == Discovery.DOWN;
                         at(
                                 now + WIRE,
                                 () -> {
-                                    up = !refuses;
-                                    over = refuses;
+                                    up = !refused;
+                                    failed = refused;
                                     send();
                                 });
                     }
                 }
 
                 private void send() {
-                    if (open.contains(call) && over) {
+                    if (open.contains(call) && failed) {
                         calls.add(now);
-                        broke(call);
+                        callBroke(call);
                     } else if (open.contains(call) && up) {
-                        clock.onConnected(call);
-                        at(now + WIRE, () -> come(call));
+                        schedule.onConnected(call);
+                        at(now + WIRE, () -> requestArrives(call));
                     }
                 }
             }
 
-            private void come(int call) {
+            private void requestArrives(int call) {
                 calls.add(now);
                 if (state == Discovery.SILENT || state == Discovery.CUT || unanswered-- > 0) {
                     return;
                 }
-                long begins = Math.max(now, workerFreeAt);
-                if (state != Discovery.WELL || refuses-- > 0) {
-                    at(now + WIRE, () -> broke(call));
+                long startsAt = Math.max(now, workerFreeAt);
+                if (state != Discovery.WELL || refusals-- > 0) {
+                    at(now + WIRE, () -> callBroke(call));
                     return;
                 }
-                if (begins - now > S) {
-                    at(now + S + WIRE, () -> broke(call));
+                if (startsAt - now > S) {
+                    at(now + S + WIRE, () -> callBroke(call));
                     return;
                 }
-                workerFreeAt = begins + S / perSecond;
-                at(workerFreeAt + WIRE, () -> told(call));
+                workerFreeAt = startsAt + S / perSecond;
+                at(workerFreeAt + WIRE, () -> update(call));
             }
 
-            private void broke(int call) {
+            private void callBroke(int call) {
                 if (open.remove(call)) {
-                    clock.onCallFailed(now, call);
+                    schedule.onCallFailed(now, call);
                 }
             }
 
-            private void told(int call) {
+            private void update(int call) {
                 if (state == Discovery.SILENT || state == Discovery.CUT || !open.contains(call)) {
                     return;
                 }
                 if (state != Discovery.WELL) {
-                    broke(call);
+                    callBroke(call);
                     return;
                 }
-                clock.onUpdate(now, call);
-                module.onEndpoints(now, EndpointListKind.DELTA, List.of());
-                toldAt = now;
-                told.add(now);
-                at(now + 2 * S + random.nextLong(LATE), () -> line(call));
+                schedule.onUpdate(now, call);
+                balancer.onEndpoints(now, EndpointListKind.DELTA, List.of());
+                lastUpdateAt = now;
+                updates.add(now);
+                at(now + 2 * S + random.nextLong(MAX_DELAY), () -> heartbeat(call));
             }
 
-            private void line(int call) {
+            private void heartbeat(int call) {
                 if (state == Discovery.WELL && open.contains(call)) {
-                    clock.onHeartbeat(now, call);
-                    at(now + 2 * S + random.nextLong(LATE), () -> line(call));
+                    schedule.onHeartbeat(now, call);
+                    at(now + 2 * S + random.nextLong(MAX_DELAY), () -> heartbeat(call));
                 }
             }
 
@@ -301,91 +313,97 @@
 
             @Override
             public void scheduleTimer(long at) {
-                armed = at;
+                timerAt = at;
                 World.this.at(
-                        at + TURN,
+                        at + LOOP_DELAY,
                         () -> {
-                            if (armed == at) {
-                                clock.onTimer(now);
+                            if (timerAt == at) {
+                                schedule.onTimer(now);
                             }
                         });
             }
 
             @Override
             public void onUnavailable() {
-                module.onEndpointsUnavailable(now);
+                balancer.onEndpointsUnavailable(now);
             }
         }
     }
 
-    private static BalancerSettings site(boolean ask) {
+    private static BalancerSettings settings(boolean polls) {
         Site site = new Site();
-        site.ask = ask;
+        site.pollsEndpoints = polls;
         return site.settings();
     }
 
-    /** Detects calls that nobody needs: lines up to a second late are no silence. */
+    /**
+     * A healthy watch must not be requested again: heartbeats up to a second late do not count as
+     * silence.
+     */
     @Test
-    public void aWatchThatIsWellIsAskedForOnce() {
-        for (boolean ask : new boolean[] {true, false}) {
-            World world = new World(1, 200, 1000, ask);
+    public void healthyWatchIsRequestedOnce() {
+        for (boolean polls : new boolean[] {true, false}) {
+            World world = new World(1, 200, 1000, polls);
             world.run(30 * S);
-            int dials = world.dials; // with spare ones, where the start keeps replicas waiting
+            int connections =
+                    world.connections; // including spare connections, where the start makes
+            // replicas wait
             world.run(600 * S);
             assertEquals(world.calls.size(), 200);
-            assertEquals(world.dials, dials);
+            assertEquals(world.connections, connections);
         }
     }
 
     /**
-     * Detects a list that is late: a replica is told again before what it missed counts as told, 6
-     * s after the last byte, also where the reopening is silent or refused too and each connection
-     * is late.
+     * After a watch becomes silent, a replica must be updated again before the update that it
+     * missed takes effect, 6 s after the last byte; also where the new watch is silent or refused
+     * too, and each connection is delayed.
      */
     @Test
-    public void aSilentWatchIsOpenedAnewInTime() {
+    public void silentWatchIsReopenedInTime() {
         long[] longest = new long[3];
         for (long seed = 0; seed < 2000; seed++) {
-            longest[0] = Math.max(longest[0], silence(seed, 0, 0, LATE));
-            longest[1] = Math.max(longest[1], silence(seed, 1, 0, LATE));
-            longest[2] = Math.max(longest[2], silence(seed, 0, 1, LATE));
+            longest[0] = Math.max(longest[0], timeWithoutUpdateAfterSilence(seed, 0, 0, MAX_DELAY));
+            longest[1] = Math.max(longest[1], timeWithoutUpdateAfterSilence(seed, 1, 0, MAX_DELAY));
+            longest[2] = Math.max(longest[2], timeWithoutUpdateAfterSilence(seed, 0, 1, MAX_DELAY));
         }
         System.out.printf(
-                "told anew after %.2f s, after %.2f s where the reopening is silent too, after "
-                        + "%.2f s where it is refused%n",
+                "updated after %.2f s, after %.2f s where the new watch is silent too, after "
+                        + "%.2f s where the new watch is refused%n",
                 longest[0] / 1e9, longest[1] / 1e9, longest[2] / 1e9);
         assertTrue(longest[0] < 5.3 * S, "once: " + longest[0]);
         assertTrue(longest[1] < 5.6 * S, "silent again: " + longest[1]);
         assertTrue(longest[2] < 5.6 * S, "refused: " + longest[2]);
     }
 
-    /** How long one replica, told last an instant before, is without a list. */
-    private static long silence(long seed, int unanswered, int refused, long late) {
+    /** Returns how long one replica, updated just before, then receives no update. */
+    private static long timeWithoutUpdateAfterSilence(
+            long seed, int unanswered, int refused, long connectionDelay) {
         World world = new World(seed, 1, 1000, true);
         world.run(20 * S);
-        World.Copy replica = world.replicas.get(0);
+        World.Replica replica = world.replicas.get(0);
         int call = replica.open.iterator().next();
-        replica.clock.onUpdate(world.now, call);
-        replica.open.remove(call); // from now on nothing comes on it
+        replica.schedule.onUpdate(world.now, call);
+        replica.open.remove(call); // nothing arrives on it any more
         long from = world.now;
-        world.late = late;
+        world.connectionDelay = connectionDelay;
         world.unanswered = unanswered;
-        replica.refuses = refused;
+        replica.refusals = refused;
         world.run(from + 30 * S);
         return replica.firstAfter(from) - from;
     }
 
     /**
-     * Detects a list that is late once discovery is back, since what failed before has made the
-     * waits long: whatever the outage was like and at whatever phase of a call it ends, all
-     * replicas are told well before what there was to be told counts as told, 6 s later; also where
-     * the first answer is a refusal and connections are late.
+     * Failures during an outage must not lengthen the waits after it: whatever the outage was and
+     * at whatever phase of a request it ends, all replicas must be updated well before the new list
+     * takes effect, 6 s later; also where the first response is a refusal and connections are
+     * delayed.
      */
     @Test
-    public void anOutageIsOverAsSoonAsDiscoveryIsBack() {
+    public void replicasAreUpdatedSoonAfterOutage() {
         System.out.println(
-                "| outage | 1 copy | connections late | and refused once | 100 copies | the same"
-                        + " three |");
+                "| outage | 1 replica | connections late | and refused once | 100 replicas | the"
+                        + " same three |");
         for (Discovery state :
                 new Discovery[] {Discovery.DOWN, Discovery.BUSY, Discovery.SILENT, Discovery.CUT}) {
             StringBuilder row = new StringBuilder("| " + state);
@@ -393,7 +411,11 @@
                 for (int trouble = 0; trouble < 3; trouble++) {
                     long longest = 0;
                     for (long seed = 0; seed < (replicas == 1 ? 2000 : 200); seed++) {
-                        longest = Math.max(longest, outage(seed, replicas, state, trouble));
+                        longest =
+                                Math.max(
+                                        longest,
+                                        timeWithoutUpdateAfterOutage(
+                                                seed, replicas, state, trouble));
                     }
                     row.append(String.format(" | %.2f", longest / 1e9));
                     assertTrue(longest < 5500 * MS, row.toString());
@@ -403,59 +425,60 @@
         }
     }
 
-    /** How long after an outage the last replica is told. */
-    private static long outage(long seed, int replicas, Discovery state, int trouble) {
+    /** Returns how long after an outage the last replica is updated. */
+    private static long timeWithoutUpdateAfterOutage(
+            long seed, int replicas, Discovery state, int trouble) {
         World world = new World(seed, replicas, replicas / 10 + 60, true);
         world.run(20 * S);
-        world.late = trouble > 0 ? LATE : 0;
-        world.lateByChance = seed % 2 == 1;
-        world.become(state);
+        world.connectionDelay = trouble > 0 ? MAX_DELAY : 0;
+        world.randomDelay = seed % 2 == 1;
+        world.setState(state);
         world.run(world.now + world.random.nextLong(100 * MS, 20 * S));
-        world.become(Discovery.WELL);
-        world.replicas.forEach(replica -> replica.refuses = trouble > 1 ? 1 : 0);
+        world.setState(Discovery.WELL);
+        world.replicas.forEach(replica -> replica.refusals = trouble > 1 ? 1 : 0);
         long from = world.now;
         world.run(from + 30 * S);
-        return world.allTold(from);
+        return world.allUpdatedAfter(from);
     }
 
     /**
-     * Detects a list that is late where discovery ended the watch, or refused calls, and the first
-     * call after that hangs: its silence is known a whole patience later, and no further wait is
-     * due then.
+     * If discovery ended the watch or refused requests, and the next request hangs, the list must
+     * still arrive in time: the silence is noticed only after a full timeout, and no further wait
+     * may follow.
      */
     @Test
-    public void aCallThatHangsAfterAnEndIsMadeAnewInTime() {
+    public void hangingRequestAfterEndOfWatchIsRepeatedInTime() {
         long[] longest = new long[3];
         for (long seed = 0; seed < 2000; seed++) {
-            longest[0] = Math.max(longest[0], hang(seed, Discovery.WELL));
-            longest[1] = Math.max(longest[1], hang(seed, Discovery.DOWN));
-            longest[2] = Math.max(longest[2], hang(seed, Discovery.BUSY));
+            longest[0] = Math.max(longest[0], timeWithoutUpdateAfterHang(seed, Discovery.WELL));
+            longest[1] = Math.max(longest[1], timeWithoutUpdateAfterHang(seed, Discovery.DOWN));
+            longest[2] = Math.max(longest[2], timeWithoutUpdateAfterHang(seed, Discovery.BUSY));
         }
         String all =
                 String.format(
-                        "told after %.2f s where the reopening hangs, after %.2f s where the first"
-                                + " call after an outage does, after %.2f s where the first after"
-                                + " refusals does",
+                        "updated after %.2f s where the new watch hangs, after %.2f s where the"
+                            + " first request after an outage does, after %.2f s where the first"
+                            + " after refusals does",
                         longest[0] / 1e9, longest[1] / 1e9, longest[2] / 1e9);
         System.out.println(all);
         assertTrue(Arrays.stream(longest).max().orElseThrow() < 5900 * MS, all);
     }
 
     /**
-     * How long after the end of its watch, or of an outage, one replica is told; the first call
-     * then hangs.
+     * Returns how long after the end of its watch, or of an outage, one replica is updated when the
+     * first request then hangs.
      */
-    private static long hang(long seed, Discovery outage) {
+    private static long timeWithoutUpdateAfterHang(long seed, Discovery outage) {
         World world = new World(seed, 1, 1000, true);
         world.run(20 * S);
-        world.late = LATE;
-        World.Copy replica = world.replicas.get(0);
+        world.connectionDelay = MAX_DELAY;
+        World.Replica replica = world.replicas.get(0);
         if (outage == Discovery.WELL) {
-            replica.broke(replica.open.iterator().next());
+            replica.callBroke(replica.open.iterator().next());
         } else {
-            world.become(outage);
+            world.setState(outage);
             world.run(world.now + world.random.nextLong(100 * MS, 20 * S));
-            world.become(Discovery.WELL);
+            world.setState(Discovery.WELL);
         }
         world.unanswered = 1;
         long from = world.now;
@@ -463,19 +486,21 @@
         return replica.firstAfter(from) - from;
     }
 
-    /** Detects a watch on which pieces of an object that never ends count as life. */
+    /**
+     * Fragments of an object that is never completed must not count as a sign of life of the watch.
+     */
     @Test
-    public void anObjectThatNeverEndsIsNoLife() {
-        List<String> done = new ArrayList<>();
-        DiscoveryPollSchedule clock = clock(done, 6 * S);
-        clock.poll(0);
-        clock.onUpdate(0, 1);
-        clock.onObjectStarted(2 * S, 1);
+    public void incompleteObjectDoesNotKeepWatchAlive() {
+        List<String> performed = new ArrayList<>();
+        DiscoveryPollSchedule schedule = newSchedule(performed, 6 * S);
+        schedule.poll(0);
+        schedule.onUpdate(0, 1);
+        schedule.onObjectStarted(2 * S, 1);
         for (long at = 2 * S; at < 8 * S; at += 50 * MS) {
-            clock.onTimer(at);
+            schedule.onTimer(at);
         }
         assertEquals(
-                calls(done),
+                calls(performed),
                 List.of(
                         "open 1",
                         "dialSpare false",
@@ -488,25 +513,25 @@
     }
 
     /**
-     * Detects a proxy that waits while discovery has moved, or lists are pushed; what the new
-     * address has counts 4 s later, also where the first call there fails or hangs.
+     * A proxy must not wait after discovery has moved, or where lists are pushed. The list of the
+     * new address takes effect 4 s later, also where the first request there fails or hangs.
      */
     @Test
-    public void itIsAskedAtOnceWhereItMovedAndSoonWhereListsArePushed() {
-        List<String> done = new ArrayList<>();
-        DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-        clock.poll(0);
-        clock.onUpdate(1, 1);
-        clock.onAddressChanged(S);
-        clock.onHeartbeat(S + 1, 2);
-        clock.onCallFailed(S + 2, 2);
-        clock.onTimer(S + 2 + 750 * MS);
-        clock.onConnected(3);
-        clock.onTimer(S + 2 + 1000 * MS);
-        clock.onTimer(S + 2 + 2000 * MS);
-        clock.onUpdate(S + 3 + 2000 * MS, 4);
+    public void pollsAtOnceAfterAddressChangeAndSoonWithPushedLists() {
+        List<String> performed = new ArrayList<>();
+        DiscoveryPollSchedule schedule = newSchedule(performed, 1500 * MS);
+        schedule.poll(0);
+        schedule.onUpdate(1, 1);
+        schedule.onAddressChanged(S);
+        schedule.onHeartbeat(S + 1, 2);
+        schedule.onCallFailed(S + 2, 2);
+        schedule.onTimer(S + 2 + 750 * MS);
+        schedule.onConnected(3);
+        schedule.onTimer(S + 2 + 1000 * MS);
+        schedule.onTimer(S + 2 + 2000 * MS);
+        schedule.onUpdate(S + 3 + 2000 * MS, 4);
         assertEquals(
-                calls(done),
+                calls(performed),
                 List.of(
                         "open 1",
                         "dialSpare false",
@@ -518,69 +543,68 @@
                         "drop 3 SUPERSEDED",
                         "drop 1 SUPERSEDED",
                         "dialSpare false"));
-        done.clear();
-        DiscoveryPollSchedule pushed =
-                clock(done, DiscoveryPollSchedule.maxBackoffNanos(site(false)));
-        pushed.poll(0);
-        pushed.onCallFailed(0, 1);
-        pushed.onTimer(750 * MS);
-        pushed.onCallFailed(750 * MS, 2);
-        pushed.onTimer(1500 * MS);
-        assertEquals(calls(done), List.of("open 1", "onUnavailable", "open 2", "open 3"));
+        performed.clear();
+        DiscoveryPollSchedule pushSchedule =
+                newSchedule(performed, DiscoveryPollSchedule.maxBackoffNanos(settings(false)));
+        pushSchedule.poll(0);
+        pushSchedule.onCallFailed(0, 1);
+        pushSchedule.onTimer(750 * MS);
+        pushSchedule.onCallFailed(750 * MS, 2);
+        pushSchedule.onTimer(1500 * MS);
+        assertEquals(calls(performed), List.of("open 1", "onUnavailable", "open 2", "open 3"));
     }
 
     /**
-     * Detects a call at a new address that hangs, and is made anew only after its whole patience,
-     * since discovery had ended a watch at its former one: 4 s are owed after it has moved.
+     * A hanging request to a new address must not wait for its full timeout before it is repeated
+     * because discovery had ended a watch at the former address: 4 s are allowed after the move.
      */
     @Test
-    public void whatAFormerAddressAnsweredSaysNothingOfTheNewOne() {
+    public void hedgesRequestToNewAddressDespiteAnswersOfFormerOne() {
         for (boolean endsAfterwards : new boolean[] {false, true}) {
-            List<String> done = new ArrayList<>();
-            DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-            clock.poll(0);
-            clock.onUpdate(0, 1);
-            clock.onCallFailed(2 * S, 1);
-            clock.onTimer(3 * S);
-            clock.onUpdate(3 * S, 2);
-            done.clear();
-            clock.onAddressChanged(4 * S);
+            List<String> performed = new ArrayList<>();
+            DiscoveryPollSchedule schedule = newSchedule(performed, 1500 * MS);
+            schedule.poll(0);
+            schedule.onUpdate(0, 1);
+            schedule.onCallFailed(2 * S, 1);
+            schedule.onTimer(3 * S);
+            schedule.onUpdate(3 * S, 2);
+            performed.clear();
+            schedule.onAddressChanged(4 * S);
             if (endsAfterwards) {
-                clock.onCallFailed(4 * S + 1, 2);
+                schedule.onCallFailed(4 * S + 1, 2);
             }
-            clock.onConnected(3);
-            clock.onTimer(4 * S + 250 * MS);
-            clock.onTimer(4 * S + 1250 * MS);
+            schedule.onConnected(3);
+            schedule.onTimer(4 * S + 250 * MS);
+            schedule.onTimer(4 * S + 1250 * MS);
             assertEquals(
-                    calls(done),
+                    calls(performed),
                     List.of("open 3", "dialSpare true", "open 4"),
-                    "ends: " + endsAfterwards);
+                    "former watch ends: " + endsAfterwards);
         }
     }
 
     /**
-     * Detects a storm of hedged calls at a discovery that is there and serves few in a second: one
-     * that has its place in the queue is made once, until it was silent for a call's whole
-     * patience.
+     * Requests must not be hedged at a discovery that is available but serves few per second: a
+     * queued request is sent once, until discovery was silent for the full timeout of a request.
      */
     @Test
-    public void noCallIsMadeTwiceWhileDiscoveryAnswers() {
-        List<String> done = new ArrayList<>();
-        DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-        clock.poll(0);
-        clock.onUpdate(0, 1);
-        clock.onCallFailed(S, 1);
-        clock.onTimer(2 * S);
-        clock.onConnected(2);
-        clock.onTimer(2 * S + 250 * MS);
-        clock.onTimer(2 * S + 1250 * MS);
-        clock.onCallFailed(4 * S, 2);
-        clock.onTimer(6 * S);
-        clock.onConnected(3);
-        clock.onTimer(6 * S + 250 * MS);
-        clock.onTimer(6 * S + 1250 * MS);
+    public void doesNotHedgeWhileDiscoveryAnswers() {
+        List<String> performed = new ArrayList<>();
+        DiscoveryPollSchedule schedule = newSchedule(performed, 1500 * MS);
+        schedule.poll(0);
+        schedule.onUpdate(0, 1);
+        schedule.onCallFailed(S, 1);
+        schedule.onTimer(2 * S);
+        schedule.onConnected(2);
+        schedule.onTimer(2 * S + 250 * MS);
+        schedule.onTimer(2 * S + 1250 * MS);
+        schedule.onCallFailed(4 * S, 2);
+        schedule.onTimer(6 * S);
+        schedule.onConnected(3);
+        schedule.onTimer(6 * S + 250 * MS);
+        schedule.onTimer(6 * S + 1250 * MS);
         assertEquals(
-                calls(done),
+                calls(performed),
                 List.of(
                         "open 1",
                         "dialSpare false",
@@ -589,60 +613,62 @@
                         "dialSpare false",
                         "open 3",
                         "dialSpare false"));
-        done.clear();
-        clock.onTimer(9 * S);
-        clock.onTimer(11 * S);
-        clock.onConnected(4);
-        clock.onTimer(11 * S + 1250 * MS);
-        assertEquals(calls(done), List.of("drop 3 SILENT", "open 4", "open 5"));
+        performed.clear();
+        schedule.onTimer(9 * S);
+        schedule.onTimer(11 * S);
+        schedule.onConnected(4);
+        schedule.onTimer(11 * S + 1250 * MS);
+        assertEquals(calls(performed), List.of("drop 3 SILENT", "open 4", "open 5"));
     }
 
     /**
-     * Detects two that own one wait: what the balancer asks for meanwhile makes no call, nor a
-     * later one.
+     * The balancer and the schedule must not both control one wait: polls of the balancer during a
+     * wait cause no request, neither at once nor later.
      */
     @Test
-    public void theModulesOwnWaitsChangeNothing() {
+    public void pollsOfTheBalancerChangeNothing() {
         List<String> alone = new ArrayList<>();
-        List<String> asked = new ArrayList<>();
-        for (List<String> done : List.of(alone, asked)) {
-            DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-            clock.poll(0);
+        List<String> polled = new ArrayList<>();
+        for (List<String> performed : List.of(alone, polled)) {
+            DiscoveryPollSchedule schedule = newSchedule(performed, 1500 * MS);
+            schedule.poll(0);
             for (int call = 1; call < 20; call++) {
-                clock.onCallFailed(call * 2 * S, call);
+                schedule.onCallFailed(call * 2 * S, call);
                 for (long at = call * 2 * S; at < (call + 1) * 2 * S; at += 10 * MS) {
-                    if (done == asked) {
-                        clock.poll(at);
+                    if (performed == polled) {
+                        schedule.poll(at);
                     }
-                    if (done.lastIndexOf("open " + (call + 1)) < 0) {
-                        clock.onTimer(at);
+                    if (performed.lastIndexOf("open " + (call + 1)) < 0) {
+                        schedule.onTimer(at);
                     }
                 }
             }
         }
-        assertEquals(asked, alone);
+        assertEquals(polled, alone);
         assertTrue(alone.contains("open 19"), alone.toString());
     }
 
-    /** Detects a discovery that ends each watch once it has told being asked without a pause. */
+    /**
+     * A discovery that ends each watch right after its update must not be polled without a pause.
+     */
     @Test
-    public void aWatchThatEndsIsOpenedAnewSoonUnlessItEndsAtOnce() {
-        List<String> done = new ArrayList<>();
-        DiscoveryPollSchedule clock = clock(done, 1500 * MS);
-        clock.poll(0);
-        clock.onUpdate(0, 1);
-        clock.onCallFailed(1500 * MS, 1);
-        clock.onTimer(2500 * MS);
-        clock.onUpdate(2500 * MS, 2);
-        clock.onCallFailed(2600 * MS, 2);
-        clock.onTimer(3599 * MS);
-        assertEquals(done.lastIndexOf("open 3"), -1, "not yet");
-        clock.onTimer(4100 * MS);
-        clock.onUpdate(4100 * MS, 3);
-        clock.onCallFailed(5600 * MS, 3);
-        clock.onTimer(6600 * MS);
+    public void endedWatchIsReopenedSoonUnlessItEndedAtOnce() {
+        List<String> performed = new ArrayList<>();
+        DiscoveryPollSchedule schedule = newSchedule(performed, 1500 * MS);
+        schedule.poll(0);
+        schedule.onUpdate(0, 1);
+        schedule.onCallFailed(1500 * MS, 1);
+        schedule.onTimer(2500 * MS);
+        schedule.onUpdate(2500 * MS, 2);
+        schedule.onCallFailed(2600 * MS, 2);
+        schedule.onTimer(3599 * MS);
+        assertEquals(performed.lastIndexOf("open 3"), -1, "not yet");
+        schedule.onTimer(4100 * MS);
+        schedule.onUpdate(4100 * MS, 3);
+        schedule.onCallFailed(5600 * MS, 3);
+        schedule.onTimer(6600 * MS);
         assertEquals(
-                calls(done),
+                calls(performed),
                 List.of(
                         "open 1",
                         "dialSpare false",
@@ -656,11 +682,13 @@
                         "open 4"));
     }
 
-    private static List<String> calls(List<String> done) {
-        return done.stream().filter(line -> !line.startsWith("scheduleTimer")).toList();
+    private static List<String> calls(List<String> performed) {
+        return performed.stream()
+                .filter(heartbeat -> !heartbeat.startsWith("scheduleTimer"))
+                .toList();
     }
 
-    private static DiscoveryPollSchedule clock(List<String> done, long longest) {
+    private static DiscoveryPollSchedule newSchedule(List<String> performed, long longest) {
         return new DiscoveryPollSchedule(
                 true,
                 longest,
@@ -671,7 +699,7 @@
                                 DiscoveryPollSchedule.class.getClassLoader(),
                                 new Class<?>[] {DiscoveryPollSchedule.Actions.class},
                                 (self, method, args) -> {
-                                    done.add(
+                                    performed.add(
                                             method.getName()
                                                     + (args == null
                                                             ? ""
@@ -685,19 +713,19 @@
     }
 
     /**
-     * Detects a storm: no second sees more calls than there are replicas, no 100 ms more than a
-     * fifth of that, and once discovery can answer all have been told before what it has counts as
-     * told, 6 s later; where there are more replicas than it can serve by then, within the 10 s
-     * that count anew, and 2 s for acting on it. It serves 60 calls a second, and a tenth of the
-     * replicas.
+     * Limits the load on discovery: no second has more requests than there are replicas, and no 100
+     * ms more than a fifth of that. Once discovery can answer, all replicas must be updated before
+     * the list takes effect, 6 s later; where there are more replicas than it can serve by then,
+     * within the 10 s after which a list takes effect again, plus 2 s to act on it. Discovery
+     * serves 60 requests per second plus a tenth of the replicas.
      */
     @Test
-    public void manyCopiesDoNotCrowdDiscovery() {
+    public void manyReplicasDoNotOverloadDiscovery() {
         System.out.println(
-                "| copies | trouble | most calls in 1 s | in 10 s | in 60 s | told after |");
+                "| replicas | trouble | max requests in 1 s | in 10 s | in 60 s | updated after |");
         for (int replicas : new int[] {1, 100, 500}) {
             play(replicas, "all watches silent", Discovery.WELL, 0);
-            play(replicas, "the same, after one line for all", Discovery.WELL, 0);
+            play(replicas, "the same, after one update for all", Discovery.WELL, 0);
             play(replicas, "discovery down for 8 s", Discovery.DOWN, 8);
             play(replicas, "discovery down for 30 s", Discovery.DOWN, 30);
             play(replicas, "discovery silent for 8 s", Discovery.SILENT, 8);
@@ -715,16 +743,17 @@
         long from = world.now;
         if (trouble.endsWith("for all")) {
             world.replicas.forEach(
-                    replica -> replica.clock.onUpdate(world.now, replica.open.iterator().next()));
+                    replica ->
+                            replica.schedule.onUpdate(world.now, replica.open.iterator().next()));
         }
-        world.become(state == Discovery.WELL ? Discovery.SILENT : state);
+        world.setState(state == Discovery.WELL ? Discovery.SILENT : state);
         world.run(from + seconds * S);
-        world.become(Discovery.WELL);
+        world.setState(Discovery.WELL);
         world.run(from + 100 * S);
         int[] each = world.counts(from, S, 60);
         int max = Arrays.stream(each).max().orElseThrow();
-        int crowd = Arrays.stream(world.counts(from, 100 * MS, 600)).max().orElseThrow();
-        double told = world.allTold(from + seconds * S) / 1e9;
+        int maxIn100Ms = Arrays.stream(world.counts(from, 100 * MS, 600)).max().orElseThrow();
+        double updatedAfter = world.allUpdatedAfter(from + seconds * S) / 1e9;
         System.out.printf(
                 "| %d | %s | %d | %d | %d | %.1f s |%n",
                 replicas,
@@ -732,19 +761,19 @@
                 max,
                 Arrays.stream(each, 0, 10).sum(),
                 Arrays.stream(each).sum(),
-                told);
+                updatedAfter);
         assertTrue(
-                max <= replicas && crowd <= 3 + replicas / 5,
+                max <= replicas && maxIn100Ms <= 3 + replicas / 5,
                 trouble
                         + " and "
                         + replicas
-                        + " copies: "
+                        + " replicas: "
                         + max
-                        + " calls in 1 s, "
-                        + crowd
+                        + " requests in 1 s, "
+                        + maxIn100Ms
                         + " in 100 ms");
         assertTrue(
-                told > 0 && told < (replicas > 100 ? 12 : 6),
-                trouble + ": told after " + told + " s");
+                updatedAfter > 0 && updatedAfter < (replicas > 100 ? 12 : 6),
+                trouble + ": updated after " + updatedAfter + " s");
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
+++ b/core/src/test/java/cedarrudder/balancer/EndpointStateTest.java
@@ -12,36 +12,41 @@
     private static final long MS = Site.MS;
 
     @Test
-    void isSilentWhenNothingComesBackForTooLong() {
+    void isUnresponsiveWithoutResponseForTooLong() {
         EndpointState server = new EndpointState(Site.ready(1), 0, 4, 0);
-        assertFalse(server.isUnresponsive(900 * MS, 100 * MS), "nothing is out");
+        assertFalse(server.isUnresponsive(900 * MS, 100 * MS), "nothing is in flight");
         server.onAttemptSent(0, 1);
         server.onAttemptSent(50 * MS, 1);
         assertFalse(server.isUnresponsive(100 * MS, 100 * MS));
         assertTrue(server.isUnresponsive(101 * MS, 100 * MS));
         server.onAttemptEnded(110 * MS, Outcome.OK);
-        assertFalse(server.isUnresponsive(111 * MS, 100 * MS), "an answer ends the silence");
+        assertFalse(
+                server.isUnresponsive(111 * MS, 100 * MS),
+                "a response makes the endpoint responsive");
     }
 
     @Test
-    void aColdStartBeginsInDebt() {
+    void slowStartBudgetBeginsInDebt() {
         SafetyRules safety = new Site().settings().safety();
         BalancerParameters defaults = BalancerParameters.DEFAULTS;
         EndpointState server =
                 new EndpointState(Site.endpoint(1, 0, 0, EndpointStatus.READY, 1), 1, 4, 0.5);
         assertFalse(
                 server.withinSlowStartBudget(2, 10, defaults, safety),
-                "no copy sends its first request at once");
+                "no replica sends its first request at once");
         assertTrue(server.withinSlowStartBudget(1 + 200 * MS, 10, defaults, safety));
         server.onAttemptSent(1 + 200 * MS, 1);
         assertFalse(
                 server.withinSlowStartBudget(2 + 200 * MS, 10, defaults, safety),
-                "nor the next right after");
+                "nor the next one right after it");
     }
 
-    /** Detects many replicas that all wait for a call, and then send their one request at once. */
+    /**
+     * Many replicas that wait for a request must not then all send their one request at the same
+     * time.
+     */
     @Test
-    void aTurnThatIsNotUsedPassesBy() {
+    void unusedSlowStartTokenExpires() {
         SafetyRules safety = new Site().settings().safety();
         int replicas = 1000;
         int ready = 0;
@@ -52,8 +57,8 @@
                             1,
                             4,
                             i / (double) replicas);
-            // 0.02 requests a second at first: planned is half of the multiple, a quarter of it
-            // while cold.
+            // 0.02 requests per second at first: half of the overload multiple is planned, and a
+            // quarter of the capacity is available while cold.
             for (long now = 1; now < 1 + 2 * Site.SECOND; now += 50 * MS) {
                 server.withinSlowStartBudget(now, 0.04, BalancerParameters.DEFAULTS, safety);
             }
@@ -63,8 +68,12 @@
                             ? 1
                             : 0;
         }
-        // Half a window's part of each: 0.5 x 4 x 0.4 x 0.04 / 2.
-        assertTrue(ready <= 0.016 * replicas + 2, ready + " of " + replicas + " may send at once");
-        assertTrue(ready >= 0.016 * replicas - 2, ready + " of " + replicas + " may send at once");
+        // Half the budget of a window for each replica: 0.5 x 4 x 0.4 x 0.04 / 2.
+        assertTrue(
+                ready <= 0.016 * replicas + 2,
+                ready + " of " + replicas + " replicas may send at once");
+        assertTrue(
+                ready >= 0.016 * replicas - 2,
+                ready + " of " + replicas + " replicas may send at once");
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/EndpointSubsetTest.java
+++ b/core/src/test/java/cedarrudder/balancer/EndpointSubsetTest.java
@@ -14,61 +14,62 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Whom replicas send to: few each, and all endpoints between them. */
+/** Tests which endpoints replicas send to: few per replica, and all endpoints between them. */
 class EndpointSubsetTest {
 
-    /** The endpoints that each of some replicas sends to, over a hundred quick calls. */
-    private static Map<Integer, Set<Long>> used(int replicas, int endpoints) {
-        Map<Integer, Set<Long>> used = new HashMap<>();
+    /** Returns the endpoints that each replica sends to, over a hundred fast requests. */
+    private static Map<Integer, Set<Long>> usedEndpoints(int replicas, int endpoints) {
+        Map<Integer, Set<Long>> usedEndpoints = new HashMap<>();
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
         site.replicas = replicas;
         for (int replica = 0; replica < replicas; replica++) {
             site.self = replica;
-            Recorder did = new Recorder();
-            PrequalBalancer decide =
-                    new PrequalBalancer(site.settings(), new SplittableRandom(replica), did);
+            Recorder recorder = new Recorder();
+            PrequalBalancer balancer =
+                    new PrequalBalancer(site.settings(), new SplittableRandom(replica), recorder);
             long now = 100 * Site.SECOND;
-            decide.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
+            balancer.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
             for (int id = 1; id <= 100; id++) {
                 now += 10 * Site.MS;
-                decide.onRequest(now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
-                Recorder.Sent sent = did.sent.get(id - 1);
+                balancer.onRequest(
+                        now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
+                Recorder.Sent sent = recorder.sent.get(id - 1);
                 if (id > 2) {
-                    Recorder.Sent done = did.sent.get(id - 3);
-                    long lasted = 20 * Site.MS;
-                    decide.onAttemptEnded(
+                    Recorder.Sent ended = recorder.sent.get(id - 3);
+                    long latency = 20 * Site.MS;
+                    balancer.onAttemptEnded(
                             now,
-                            done.request(),
+                            ended.request(),
                             0,
-                            done.endpoint(),
+                            ended.endpoint(),
                             Outcome.OK,
-                            lasted,
+                            latency,
                             true,
                             null);
                 }
-                used.computeIfAbsent(replica, c -> new HashSet<>()).add(sent.endpoint());
+                usedEndpoints.computeIfAbsent(replica, c -> new HashSet<>()).add(sent.endpoint());
             }
         }
-        return used;
+        return usedEndpoints;
     }
 
     @Test
-    void manyCopiesConnectToFewEndpointsEachAndToAllOfThemEvenly() {
+    void manyReplicasUseFewEndpointsEachAndAllEvenly() {
         Map<Long, Integer> replicasOf = new HashMap<>();
-        used(60, 80)
+        usedEndpoints(60, 80)
                 .forEach(
                         (replica, endpoints) -> {
                             assertTrue(
                                     endpoints.size() <= 8, replica + " uses " + endpoints.size());
                             endpoints.forEach(e -> replicasOf.merge(e, 1, Integer::sum));
                         });
-        assertEquals(80, replicasOf.size(), "every endpoint is of use to someone");
+        assertEquals(80, replicasOf.size(), "every endpoint is used by some replica");
         assertTrue(replicasOf.values().stream().allMatch(n -> n <= 8), replicasOf.toString());
     }
 
     @Test
-    void aLoneCopyLeavesNoEndpointUnused() {
-        assertEquals(12, used(1, 12).get(0).size());
+    void singleReplicaUsesAllEndpoints() {
+        assertEquals(12, usedEndpoints(1, 12).get(0).size());
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/Example.java
+++ b/core/src/test/java/cedarrudder/balancer/Example.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A sidecar's use of the library, as the README shows it. */
+/** Example of a sidecar that uses the library, as shown in the README. */
 final class Example {
 
     /** One replica of a sidecar before a tier whose requests are safe to repeat. */
--- a/core/src/test/java/cedarrudder/balancer/ExampleTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ExampleTest.java
@@ -11,15 +11,15 @@
 class ExampleTest {
 
     @Test
-    void theExampleSendsItsRequest() {
-        Recorder did = new Recorder();
-        Example.serve(Example.start(did, 1, 0), 0);
-        assertEquals(42, did.sent.get(0).request());
-        assertTrue(did.failed.isEmpty() && did.refused.isEmpty());
+    void exampleSendsItsRequest() {
+        Recorder recorder = new Recorder();
+        Example.serve(Example.start(recorder, 1, 0), 0);
+        assertEquals(42, recorder.sent.get(0).request());
+        assertTrue(recorder.failed.isEmpty() && recorder.rejected.isEmpty());
     }
 
     @Test
-    void theLibrarysPageShowsItAsItIs() throws IOException {
+    void libraryPageShowsTheExampleUnchanged() throws IOException {
         String source =
                 Files.readString(Path.of("core/src/test/java/cedarrudder/balancer/Example.java"));
         int from = source.indexOf("    /** One replica");
--- a/core/src/test/java/cedarrudder/balancer/FormerIncarnationTest.java
+++ b/core/src/test/java/cedarrudder/balancer/FormerIncarnationTest.java
@@ -12,94 +12,100 @@
 import org.testng.annotations.Test;
 
 /**
- * An endpoint that restarts under its id: nothing that is known of its former life counts for this
- * one.
+ * Tests an endpoint that restarts under its id: nothing known of its former incarnation counts for
+ * the new one.
  */
 public class FormerIncarnationTest {
 
     private static final long MS = Site.MS;
     private static final int REQUESTS = 40;
 
-    private Recorder did;
-    private PrequalBalancer decide;
+    private Recorder recorder;
+    private PrequalBalancer balancer;
     private long now;
     private long id;
 
     @BeforeMethod
-    public void start() {
-        did = new Recorder();
-        decide = new PrequalBalancer(new Site().settings(), new SplittableRandom(1), did);
+    public void setUp() {
+        recorder = new Recorder();
+        balancer = new PrequalBalancer(new Site().settings(), new SplittableRandom(1), recorder);
         now = 1000 * MS;
         id = 0;
-        decide.onEndpoints(now, EndpointListKind.FULL, Site.readyUpTo(2));
+        balancer.onEndpoints(now, EndpointListKind.FULL, Site.readyUpTo(2));
     }
 
-    /** Sends a request and serves it at once; returns where it went. */
+    /** Sends a request and serves it at once; returns its endpoint. */
     private long request() {
-        did.clear();
-        decide.onRequest(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
-        long to = did.sent.get(0).endpoint();
-        decide.onAttemptEnded(now + MS, id, 0, to, Outcome.OK, MS, true, null);
+        recorder.clear();
+        balancer.onRequest(now, new Request(++id, 0, 0, now + Site.SECOND, 0, false, false, 0));
+        long to = recorder.sent.get(0).endpoint();
+        balancer.onAttemptEnded(now + MS, id, 0, to, Outcome.OK, MS, true, null);
         now += 50 * MS;
         return to;
     }
 
     private void answerProbes(Outcome outcome) {
-        for (long probed : List.copyOf(did.probed)) {
-            decide.onProbeEnded(
+        for (long probed : List.copyOf(recorder.probed)) {
+            balancer.onProbeEnded(
                     now, probed, outcome, 0, Site.load(probed == 1 ? 0 : 5, probed == 1 ? 1 : 90));
         }
-        did.probed.clear();
+        recorder.probed.clear();
     }
 
-    /** Until both have been asked for their load and have said it: the first is quick and empty. */
-    private void learn() {
+    /**
+     * Sends requests and answers probes until both endpoints have reported their load: the first is
+     * fast and empty.
+     */
+    private void probeBothEndpoints() {
         for (int i = 0; i < REQUESTS; i++) {
             request();
             now -= 50 * MS;
             answerProbes(Outcome.OK);
             now += 50 * MS;
         }
-        assertEquals(request(), 1, "the quick one is picked");
+        assertEquals(request(), 1, "the fast endpoint is picked");
     }
 
-    private void restartTheQuickOne() {
-        decide.onEndpoints(
+    private void restartFastEndpoint() {
+        balancer.onEndpoints(
                 now,
                 EndpointListKind.DELTA,
                 List.of(Site.endpoint(1, 0, 0, EndpointStatus.READY, now)));
-        now += 900 * MS; // its cold budget would allow a request by now
+        now += 900 * MS; // its slow start budget would allow a request by now
     }
 
-    /** Detects an endpoint that has just started being picked by what it reported before. */
+    /**
+     * An endpoint that has just started must not be picked because of reports from before its
+     * restart.
+     */
     @Test
-    public void whatAnEndpointReportedBeforeItsRestartIsForgotten() {
-        learn();
-        restartTheQuickOne();
-        assertEquals(request(), 2, "only what is known of the other counts");
+    public void reportFromBeforeTheRestartIsIgnored() {
+        probeBothEndpoints();
+        restartFastEndpoint();
+        assertEquals(request(), 2, "only the report of the other endpoint counts");
     }
 
-    /** Detects the same, where the report was on its way. */
+    /** The same must hold for a report that was in transit during the restart. */
     @Test
-    public void anAnswerToAProbeFromBeforeTheRestartIsNotTaken() {
-        learn();
-        did.clear();
-        while (!did.probed.contains(1L)) {
+    public void responseToProbeFromBeforeTheRestartIsIgnored() {
+        probeBothEndpoints();
+        recorder.clear();
+        while (!recorder.probed.contains(1L)) {
             now += 1000 * MS;
-            decide.onTimer(now, 0); // a tick: an idle copy asks now and then
+            balancer.onTimer(now, 0); // a tick: an idle replica sends a probe now and then
         }
-        long asked = now;
-        answerOnly(2);
-        restartTheQuickOne();
-        decide.onProbeEnded(now, 1, Outcome.OK, now - asked, Site.load(0, 1));
+        long probedAt = now;
+        answerProbeOf(2);
+        restartFastEndpoint();
+        balancer.onProbeEnded(now, 1, Outcome.OK, now - probedAt, Site.load(0, 1));
         assertEquals(request(), 2);
     }
 
-    private void answerOnly(long endpoint) {
-        while (!did.probed.contains(endpoint)) {
+    private void answerProbeOf(long endpoint) {
+        while (!recorder.probed.contains(endpoint)) {
             now += 1000 * MS;
-            decide.onTimer(now, 0);
+            balancer.onTimer(now, 0);
         }
-        decide.onProbeEnded(now, endpoint, Outcome.OK, 0, Site.load(5, 90));
+        balancer.onProbeEnded(now, endpoint, Outcome.OK, 0, Site.load(5, 90));
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/InternalFaultTest.java
+++ b/core/src/test/java/cedarrudder/balancer/InternalFaultTest.java
@@ -14,17 +14,17 @@
 import org.testng.annotations.Test;
 
 /**
- * A fault in the midst of what a timer does: the timer goes on, since nothing else would start it
- * again.
+ * Tests a fault while a timer runs: the timer must be scheduled again, since nothing else would
+ * restart it.
  */
 public class InternalFaultTest {
 
     private static final long MS = Site.MS;
 
-    private final Recorder did = new Recorder();
-    private String broken = "";
+    private final Recorder recorder = new Recorder();
+    private String failingAction = "";
 
-    private final PrequalBalancer decide =
+    private final PrequalBalancer balancer =
             new PrequalBalancer(
                     new Site().settings(),
                     new SplittableRandom(1),
@@ -32,54 +32,54 @@
                             Proxy.newProxyInstance(
                                     Actions.class.getClassLoader(),
                                     new Class<?>[] {Actions.class},
-                                    (self, action, with) -> {
-                                        if (action.getName().equals(broken)) {
-                                            throw new IllegalStateException("broken on purpose");
+                                    (self, action, arguments) -> {
+                                        if (action.getName().equals(failingAction)) {
+                                            throw new IllegalStateException("injected fault");
                                         }
-                                        return action.invoke(did, with);
+                                        return action.invoke(recorder, arguments);
                                     }));
 
     /**
-     * Lets the one timer that was armed last come, with this action broken; returns the one armed
-     * then.
+     * Fires the timer that was scheduled last while the given action throws; returns the timer that
+     * was then scheduled.
      */
-    private Timer fire(String action, long now) {
-        Timer last = did.timers.get(did.timers.size() - 1);
-        did.clear();
-        broken = action;
-        expectThrows(IllegalStateException.class, () -> decide.onTimer(now, last.token()));
-        broken = "";
+    private Timer fireWithFault(String action, long now) {
+        Timer last = recorder.timers.get(recorder.timers.size() - 1);
+        recorder.clear();
+        failingAction = action;
+        expectThrows(IllegalStateException.class, () -> balancer.onTimer(now, last.token()));
+        failingAction = "";
         assertEquals(
-                did.timers.stream().map(Timer::token).toList(),
+                recorder.timers.stream().map(Timer::token).toList(),
                 List.of(last.token()),
-                "armed again");
-        return did.timers.get(0);
+                "scheduled again");
+        return recorder.timers.get(0);
     }
 
-    /** Detects a replica that, after one fault, never again asks for a load by itself. */
+    /** A replica must not stop sending periodic probes after one fault. */
     @Test
-    public void theTickGoesOnAfterAProbeThatFailed() {
-        decide.onEndpoints(1000 * MS, EndpointListKind.FULL, Site.readyUpTo(2));
-        Timer next = fire("sendProbe", 20_000 * MS);
-        decide.onTimer(next.at(), next.token());
-        assertEquals(did.probed.size(), 0, "its place is taken by the one that failed, for now");
-        assertEquals(did.timers.size(), 2);
+    public void periodicProbesContinueAfterAFailedOne() {
+        balancer.onEndpoints(1000 * MS, EndpointListKind.FULL, Site.readyUpTo(2));
+        Timer next = fireWithFault("sendProbe", 20_000 * MS);
+        balancer.onTimer(next.at(), next.token());
+        assertEquals(recorder.probed.size(), 0, "the probe that failed still counts as sent");
+        assertEquals(recorder.timers.size(), 2);
     }
 
     /**
-     * Detects requests that wait in line for their deadlines, since one of them could not be told.
+     * Queued requests must not wait for their deadlines because one of them could not be rejected.
      */
     @Test
-    public void thoseThatWaitAreToldAfterOneThatCouldNotBe() {
-        decide.onEndpoints(
+    public void queuedRequestsAreRejectedAfterOneRejectionFailed() {
+        balancer.onEndpoints(
                 1000 * MS,
                 EndpointListKind.FULL,
                 List.of(Site.endpoint(1, 0, 0, EndpointStatus.DRAINING, 0)));
         for (int id = 1; id <= 2; id++) {
-            decide.onRequest(1000 * MS, new Request(id, 0, 0, 2000 * MS, 0, false, false, 0));
+            balancer.onRequest(1000 * MS, new Request(id, 0, 0, 2000 * MS, 0, false, false, 0));
         }
-        Timer next = fire("reject", 1900 * MS);
-        decide.onTimer(next.at(), next.token());
-        assertEquals(did.refused, List.of(1L, 2L));
+        Timer next = fireWithFault("reject", 1900 * MS);
+        balancer.onTimer(next.at(), next.token());
+        assertEquals(recorder.rejected, List.of(1L, 2L));
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/OverloadTest.java
+++ b/core/src/test/java/cedarrudder/balancer/OverloadTest.java
@@ -17,13 +17,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Endpoints are not driven past what they hold, and who waits goes by worth. */
+/**
+ * Endpoints receive no more requests than their concurrency limit; queued requests are ordered by
+ * priority.
+ */
 public class OverloadTest {
 
     private static final long MS = Site.MS;
     private static final long SECOND = Site.SECOND;
     private static final RequestClass SAFE = Site.SAFE;
-    private static final RequestClass WORTHY =
+    private static final RequestClass HIGH_PRIORITY =
             new RequestClass(
                     "worthy",
                     SAFE.idempotency(),
@@ -36,14 +39,14 @@
                     false);
 
     private Site site;
-    private Recorder did;
+    private Recorder recorder;
     private long now;
 
     @BeforeMethod
-    public void begin() {
+    public void setUp() {
         site = new Site();
-        site.classes = List.of(SAFE, WORTHY);
-        did = new Recorder();
+        site.classes = List.of(SAFE, HIGH_PRIORITY);
+        recorder = new Recorder();
         now = 100 * SECOND;
     }
 
@@ -63,32 +66,33 @@
                         settings.safety(),
                         new ServiceGoal(0.9, 0.1, 0, 0, 0.1, true),
                         settings.prices());
-        BalancerParameters noCopies = BalancerParameters.DEFAULTS.with(Parameter.HEDGE_STRETCH, 0);
-        PrequalBalancer decide =
-                new PrequalBalancer(byWork, noCopies, new SplittableRandom(7), did);
-        decide.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
-        return decide;
+        BalancerParameters withoutHedging =
+                BalancerParameters.DEFAULTS.with(Parameter.HEDGE_STRETCH, 0);
+        PrequalBalancer balancer =
+                new PrequalBalancer(byWork, withoutHedging, new SplittableRandom(7), recorder);
+        balancer.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(endpoints));
+        return balancer;
     }
 
-    private void ask(PrequalBalancer decide, long id, int kind) {
-        decide.onRequest(
-                now, new Request(id, kind, 0, now + 10 * SECOND, 0, false, false, 20 * MS));
+    private void sendRequest(PrequalBalancer balancer, long id, int classIndex) {
+        balancer.onRequest(
+                now, new Request(id, classIndex, 0, now + 10 * SECOND, 0, false, false, 20 * MS));
     }
 
-    /** The line's next look at who waits. */
-    private void ring(PrequalBalancer decide) {
-        Recorder.Timer next = did.timers.get(did.timers.size() - 1);
+    /** Fires the timer that was scheduled last, at which the queue is checked again. */
+    private void fireLastTimer(PrequalBalancer balancer) {
+        Recorder.Timer next = recorder.timers.get(recorder.timers.size() - 1);
         now = next.at();
-        decide.onTimer(now, next.token());
+        balancer.onTimer(now, next.token());
     }
 
-    private void ends(PrequalBalancer decide, int sent, Outcome outcome) {
-        Recorder.Sent which = did.sent.get(sent);
-        decide.onAttemptEnded(
+    private void endAttempt(PrequalBalancer balancer, int sent, Outcome outcome) {
+        Recorder.Sent attempt = recorder.sent.get(sent);
+        balancer.onAttemptEnded(
                 now,
-                which.request(),
+                attempt.request(),
                 0,
-                which.endpoint(),
+                attempt.endpoint(),
                 outcome,
                 MS,
                 outcome == Outcome.OK,
@@ -96,63 +100,66 @@
     }
 
     @Test
-    public void sendsNoEndpointMoreThanItMayHold() {
-        PrequalBalancer decide = start(2);
+    public void sendsNoEndpointMoreThanItsConcurrencyLimit() {
+        PrequalBalancer balancer = start(2);
         for (int id = 1; id <= 20; id++) {
-            ask(decide, id, 0);
+            sendRequest(balancer, id, 0);
         }
-        assertEquals(did.sent.size(), 8);
-        assertEquals(did.sent.stream().filter(s -> s.endpoint() == 1).count(), 4);
-        assertTrue(did.refused.isEmpty(), "the others wait");
+        assertEquals(recorder.sent.size(), 8);
+        assertEquals(recorder.sent.stream().filter(s -> s.endpoint() == 1).count(), 4);
+        assertTrue(recorder.rejected.isEmpty(), "the others are queued");
     }
 
     @Test
-    public void eachOfFewCopiesTakesItsPart() {
+    public void eachOfFewReplicasUsesItsFractionOfTheLimit() {
         site.replicas = 2;
-        PrequalBalancer decide = start(2);
+        PrequalBalancer balancer = start(2);
         for (int id = 1; id <= 20; id++) {
-            ask(decide, id, 0);
+            sendRequest(balancer, id, 0);
         }
-        assertEquals(did.sent.size(), 4);
+        assertEquals(recorder.sent.size(), 4);
     }
 
     @Test
-    public void whatManyOthersHaveThereIsKnownFromReports() {
+    public void requestsOfOtherReplicasAreKnownFromLoadReports() {
         site.replicas = 10;
-        PrequalBalancer decide = start(1);
-        ask(decide, 1, 0);
-        long probed = did.probed.get(0);
-        decide.onProbeEnded(
+        PrequalBalancer balancer = start(1);
+        sendRequest(balancer, 1, 0);
+        long probed = recorder.probed.get(0);
+        balancer.onProbeEnded(
                 now,
                 probed,
                 Outcome.OK,
                 0,
                 new LoadReport(3, Double.NaN, 0.9, 5, Double.NaN, Double.NaN));
-        ask(decide, 2, 0);
-        assertEquals(did.sent.size(), 1, "three of others and one of its own");
+        sendRequest(balancer, 2, 0);
+        assertEquals(recorder.sent.size(), 1, "three of other replicas and one of its own");
         now += 3 * SECOND;
-        ask(decide, 3, 0);
-        assertEquals(did.sent.size(), 3, "the report has aged, and the two that waited go");
+        sendRequest(balancer, 3, 0);
+        assertEquals(
+                recorder.sent.size(),
+                3,
+                "the report has aged, and the two queued requests are sent");
     }
 
     @Test
-    public void whoWaitsIsTurnedAwayWhileItStillHelps() {
-        PrequalBalancer decide = start(1);
+    public void queuedRequestIsRejectedWellBeforeItsDeadline() {
+        PrequalBalancer balancer = start(1);
         for (int id = 1; id <= 5; id++) {
-            ask(decide, id, 0);
+            sendRequest(balancer, id, 0);
         }
-        long came = now;
-        while (did.refused.isEmpty()) {
-            ring(decide);
+        long arrivedAt = now;
+        while (recorder.rejected.isEmpty()) {
+            fireLastTimer(balancer);
         }
-        assertEquals(did.refused, List.of(5L));
+        assertEquals(recorder.rejected, List.of(5L));
         assertTrue(
-                now - came >= 20 * MS && now - came <= 45 * MS,
-                "after " + (now - came) / MS + " ms");
+                now - arrivedAt >= 20 * MS && now - arrivedAt <= 45 * MS,
+                "rejected after " + (now - arrivedAt) / MS + " ms");
     }
 
     @Test
-    public void theLessWorthyAreTurnedAwayInTimeThoughOthersWaitBeforeThem() {
+    public void lowerPriorityIsRejectedInTimeBehindMorePatientRequests() {
         RequestClass patient =
                 new RequestClass(
                         "patient",
@@ -165,89 +172,89 @@
                         0,
                         false);
         site.classes = List.of(SAFE, patient);
-        PrequalBalancer decide = start(1);
+        PrequalBalancer balancer = start(1);
         for (int id = 1; id <= 5; id++) {
-            ask(decide, id, 1);
+            sendRequest(balancer, id, 1);
         }
-        ask(decide, 6, 0);
-        ring(decide);
-        ring(decide);
-        assertEquals(did.refused, List.of(6L));
+        sendRequest(balancer, 6, 0);
+        fireLastTimer(balancer);
+        fireLastTimer(balancer);
+        assertEquals(recorder.rejected, List.of(6L));
     }
 
     @Test
-    public void theWorthiestOfThoseWhoWaitGoesFirst() {
-        PrequalBalancer decide = start(1);
+    public void highestPriorityLeavesTheQueueFirst() {
+        PrequalBalancer balancer = start(1);
         for (int id = 1; id <= 4; id++) {
-            ask(decide, id, 1);
+            sendRequest(balancer, id, 1);
         }
-        ask(decide, 5, 0);
-        ask(decide, 6, 1);
-        ends(decide, 0, Outcome.OK);
-        assertEquals(did.sent.get(4).request(), 6L);
+        sendRequest(balancer, 5, 0);
+        sendRequest(balancer, 6, 1);
+        endAttempt(balancer, 0, Outcome.OK);
+        assertEquals(recorder.sent.get(4).request(), 6L);
     }
 
     @Test
-    public void whatIsPastATenantsShareWaitsLongest() {
+    public void requestAboveTenantQuotaWaitsLongest() {
         site.tenants = List.of(new Tenant("a", 0.5, 0.5), new Tenant("b", 0.5, 1000));
-        PrequalBalancer decide = start(1);
+        PrequalBalancer balancer = start(1);
         for (int id = 1; id <= 4; id++) {
-            ask(decide, id, 1);
+            sendRequest(balancer, id, 1);
         }
-        ask(decide, 5, 1);
-        decide.onRequest(now, new Request(6, 0, 1, now + SECOND, 0, false, false, 20 * MS));
-        ends(decide, 0, Outcome.OK);
-        assertEquals(did.sent.get(4).request(), 6L, "worth less, but within its share");
+        sendRequest(balancer, 5, 1);
+        balancer.onRequest(now, new Request(6, 0, 1, now + SECOND, 0, false, false, 20 * MS));
+        endAttempt(balancer, 0, Outcome.OK);
+        assertEquals(recorder.sent.get(4).request(), 6L, "lower priority, but within its quota");
     }
 
     @Test
-    public void aRequestThatFitsNowhereHoldsUpNoOther() {
+    public void requestWithoutEligibleEndpointDelaysNoOther() {
         site.classes = List.of(Site.KEYED_IN_CELL, Site.SAFE);
-        PrequalBalancer decide = start(0);
-        decide.onEndpoints(
+        PrequalBalancer balancer = start(0);
+        balancer.onEndpoints(
                 now,
                 EndpointListKind.DELTA,
                 List.of(Site.endpoint(1, 0, 1, EndpointStatus.READY, 0)));
-        ask(decide, 1, 0);
-        ends(decide, 0, Outcome.ERROR);
-        assertEquals(did.sent.size(), 1, "no other endpoint in its cell");
-        ask(decide, 2, 1);
-        assertEquals(did.sent.size(), 2);
+        sendRequest(balancer, 1, 0);
+        endAttempt(balancer, 0, Outcome.ERROR);
+        assertEquals(recorder.sent.size(), 1, "no other endpoint in its cell");
+        sendRequest(balancer, 2, 1);
+        assertEquals(recorder.sent.size(), 2);
     }
 
     @Test
-    public void whoLeftWhileWaitingTakesNoRoom() {
-        PrequalBalancer decide = start(1);
+    public void requestWhoseClientLeftUsesNoCapacity() {
+        PrequalBalancer balancer = start(1);
         for (int id = 1; id <= 6; id++) {
-            ask(decide, id, 0);
+            sendRequest(balancer, id, 0);
         }
-        decide.onClientLeft(now, 5);
-        ends(decide, 0, Outcome.OK);
-        assertEquals(did.sent.get(4).request(), 6L);
-        ring(decide);
-        ring(decide);
-        assertTrue(did.refused.isEmpty() && did.failed.isEmpty());
+        balancer.onClientLeft(now, 5);
+        endAttempt(balancer, 0, Outcome.OK);
+        assertEquals(recorder.sent.get(4).request(), 6L);
+        fireLastTimer(balancer);
+        fireLastTimer(balancer);
+        assertTrue(recorder.rejected.isEmpty() && recorder.failed.isEmpty());
     }
 
     @Test
-    public void nobodyWaitsPastItsDeadline() {
-        PrequalBalancer decide = start(1);
+    public void requestThatCannotWaitIsRejectedAtOnce() {
+        PrequalBalancer balancer = start(1);
         for (int id = 1; id <= 4; id++) {
-            ask(decide, id, 0);
+            sendRequest(balancer, id, 0);
         }
-        decide.onRequest(now, new Request(5, 0, 0, now + 30 * MS, 0, false, false, 0));
-        assertEquals(did.refused, List.of(5L), "too little time is left to look at it again");
+        balancer.onRequest(now, new Request(5, 0, 0, now + 30 * MS, 0, false, false, 0));
+        assertEquals(recorder.rejected, List.of(5L), "too little time is left to check it again");
     }
 
     @Test
-    public void whoIsTurnedAwayIsToldWhenTheNextPlaceShouldBeFree() {
-        PrequalBalancer decide = start(2);
+    public void rejectionCarriesTimeUntilCapacityIsExpected() {
+        PrequalBalancer balancer = start(2);
         for (int id = 1; id <= 6; id++) {
-            ask(decide, id, 0);
+            sendRequest(balancer, id, 0);
         }
-        Recorder.Sent first = did.sent.get(0);
-        decide.onAttemptEnded(now, 1, 0, first.endpoint(), Outcome.OK, 100 * MS, true, null);
-        decide.onRequest(now, new Request(7, 0, 0, now, 0, false, false, 0));
-        assertEquals(did.comeBack, List.of(20 * MS), "five are out, each for 100 ms");
+        Recorder.Sent first = recorder.sent.get(0);
+        balancer.onAttemptEnded(now, 1, 0, first.endpoint(), Outcome.OK, 100 * MS, true, null);
+        balancer.onRequest(now, new Request(7, 0, 0, now, 0, false, false, 0));
+        assertEquals(recorder.retryAfters, List.of(20 * MS), "five are in flight, each for 100 ms");
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/ProbePoolTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ProbePoolTest.java
@@ -15,7 +15,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The real pool, step by step beside the naive one, through odd answers and lists. */
+/**
+ * Compares the probe pool step by step with the reference pool, through unusual responses and
+ * endpoint lists.
+ */
 public class ProbePoolTest {
 
     private static final long MS = Site.MS;
@@ -23,29 +26,30 @@
     private static final int STEPS = 500;
     private static final int SEEDS = 20;
 
-    /** A probe that was sent, to be answered some time, once, twice or never. */
-    private record Out(long at, EndpointState server) {}
+    /** A probe that was sent and may be answered at any time: once, twice or never. */
+    private record OutstandingProbe(long at, EndpointState server) {}
 
-    /** Both pools, and the world that they are told of. */
+    /** Both pools, and the events that they receive. */
     private static final class Pools {
         final SplittableRandom random;
-        final ReferenceProbePool naive = new ReferenceProbePool();
-        final Recorder did = new Recorder();
+        final ReferenceProbePool reference = new ReferenceProbePool();
+        final Recorder recorder = new Recorder();
         final List<EndpointState> servers = new ArrayList<>();
-        final List<Out> out = new ArrayList<>();
+        final List<OutstandingProbe> outstanding = new ArrayList<>();
         final ProbePool pool;
         final EndpointSubset subset;
         final ProbeScheduler probes;
         long now = 5000 * MS;
-        final boolean wrong;
+        final boolean ignoresSendTime;
         int filled;
         int picked;
 
         /**
-         * @param wrong the real pool takes each answer for one to the last probe
+         * @param ignoresSendTime whether the real pool takes each response for one to the last
+         *     probe
          */
-        Pools(long seed, boolean wrong) {
-            this.wrong = wrong;
+        Pools(long seed, boolean ignoresSendTime) {
+            this.ignoresSendTime = ignoresSendTime;
             random = new SplittableRandom(seed);
             Site site = new Site();
             site.replicas = 1 + random.nextInt(3);
@@ -56,7 +60,7 @@
                             site.settings(),
                             BalancerParameters.DEFAULTS,
                             random.split(),
-                            did,
+                            recorder,
                             subset,
                             pool);
             for (int i = 1; i <= NODES; i++) {
@@ -66,7 +70,7 @@
                                 now,
                                 4,
                                 0));
-                show(servers.get(i - 1), true);
+                updateSubset(servers.get(i - 1), true);
             }
         }
 
@@ -76,7 +80,7 @@
             switch (random.nextInt(12)) {
                 case 0 -> restart(server);
                 case 1 ->
-                        list(
+                        updateStatus(
                                 server,
                                 random.nextBoolean()
                                         ? EndpointStatus.READY
@@ -92,18 +96,21 @@
                 case 7 -> probes.onTick(now);
                 default -> answer();
             }
-            for (long probed : did.probed) {
-                EndpointState asked =
+            for (long probed : recorder.probed) {
+                EndpointState probedServer =
                         servers.stream().filter(s -> s.id() == probed).findFirst().orElseThrow();
-                naive.asked(now, asked, asked.inFlight());
-                out.add(new Out(now, asked));
+                reference.probeSent(now, probedServer, probedServer.inFlight());
+                outstanding.add(new OutstandingProbe(now, probedServer));
             }
-            did.clear();
-            naive.roster(now, new HashSet<>(subset.members()));
+            recorder.clear();
+            reference.membersChanged(now, new HashSet<>(subset.members()));
         }
 
-        /** As the directory does: an endpoint that is not ready leaves the pool at once. */
-        private void show(EndpointState server, boolean ready) {
+        /**
+         * Updates the subset as the endpoint directory does: an endpoint that is not ready is
+         * removed from the pool at once.
+         */
+        private void updateSubset(EndpointState server, boolean ready) {
             subset.update(server, ready);
             if (!ready) {
                 pool.remove(server);
@@ -111,12 +118,12 @@
         }
 
         /**
-         * Another life under the same id: what was asked of the former one is answered all the
-         * same.
+         * Replaces an endpoint by a new incarnation with the same id; probes of the former one are
+         * still answered.
          */
         private void restart(EndpointState server) {
-            show(server, false);
-            naive.unlisted(now, server);
+            updateSubset(server, false);
+            reference.unlisted(now, server);
             EndpointState next =
                     new EndpointState(
                             Site.endpoint(server.id(), server.zone(), 0, EndpointStatus.READY, now),
@@ -124,63 +131,64 @@
                             4,
                             0);
             servers.set(servers.indexOf(server), next);
-            show(next, true);
+            updateSubset(next, true);
         }
 
-        private void list(EndpointState server, EndpointStatus state) {
+        private void updateStatus(EndpointState server, EndpointStatus state) {
             server.setEndpoint(
                     Site.endpoint(
                             server.id(), server.zone(), 0, state, server.endpoint().startedAt()));
-            show(server, state == EndpointStatus.READY);
+            updateSubset(server, state == EndpointStatus.READY);
             if (state != EndpointStatus.READY) {
-                naive.unlisted(now, server);
+                reference.unlisted(now, server);
             }
         }
 
         private void answer() {
-            if (out.isEmpty()) {
+            if (outstanding.isEmpty()) {
                 return;
             }
-            Out probe = out.get(random.nextInt(out.size()));
+            OutstandingProbe probe = outstanding.get(random.nextInt(outstanding.size()));
             if (random.nextInt(4) > 0) {
-                out.remove(probe); // else it is answered once more later
+                outstanding.remove(probe); // otherwise it is answered once more later
             }
-            Outcome how =
+            Outcome outcome =
                     switch (random.nextInt(12)) {
                         case 0, 1 -> Outcome.TIMEOUT;
                         case 2 -> Outcome.NOT_STARTED;
                         default -> Outcome.OK;
                     };
             LoadReport load =
-                    how == Outcome.OK && random.nextInt(10) > 0
+                    outcome == Outcome.OK && random.nextInt(10) > 0
                             ? Site.load(random.nextInt(6), 1 + random.nextInt(80))
                             : null;
-            // As Decide does: by the id, so that an answer meets whoever has it now.
-            EndpointState life =
+            // As the balancer does: by id, so that a response reaches the current incarnation.
+            EndpointState current =
                     servers.stream()
                             .filter(s -> s.id() == probe.server().id())
                             .findFirst()
                             .orElseThrow();
-            probes.onProbeEnded(now, life, how, wrong ? now : probe.at(), load);
-            naive.told(now, life, probe.at(), how, life.isReady() ? load : null);
+            probes.onProbeEnded(now, current, outcome, ignoresSendTime ? now : probe.at(), load);
+            reference.probeAnswered(
+                    now, current, probe.at(), outcome, current.isReady() ? load : null);
         }
 
         void compare(long seed, int step) {
             String where = "seed " + seed + ", first " + step + " steps";
-            Predicate<EndpointState> may = s -> (s.id() + step) % 3 > 0;
+            Predicate<EndpointState> eligible = s -> (s.id() + step) % 3 > 0;
             Predicate<EndpointState> suspect = s -> (s.id() * 7 + step) % 5 == 0;
-            // Long enough that no report ages so far that two come to the same but for rounding.
+            // Long enough that no report ages so far that two entries differ only by rounding.
             double turnover = 3000 * MS;
-            EndpointState real = pool.pick(now, turnover, may, suspect);
-            List<EndpointState> right = naive.picks(now, turnover, may, suspect);
+            EndpointState real = pool.pick(now, turnover, eligible, suspect);
+            List<EndpointState> expected = reference.picks(now, turnover, eligible, suspect);
             assertTrue(
-                    real == null ? right.isEmpty() : right.contains(real),
+                    real == null ? expected.isEmpty() : expected.contains(real),
                     where
                             + ": picked "
                             + id(real)
                             + " of "
-                            + right.stream().map(Pools::id).toList());
-            assertEquals(pool.size(), naive.valid(now).size(), where);
+                            + expected.stream().map(Pools::id).toList());
+            assertEquals(pool.size(), reference.valid(now).size(), where);
             filled = Math.max(filled, pool.size());
             picked += real == null ? 0 : 1;
         }
@@ -198,12 +206,12 @@
     }
 
     /**
-     * Detects a pool that is untrue to what endpoints reported: an old report over a newer one, one
-     * that counts twice, one of a former life, one that outlives its age, its place or its
-     * endpoint's listing.
+     * The pool must match what endpoints reported. It must not let an old report replace a newer
+     * one, count a report twice, use one of a former incarnation, or use one that has expired, was
+     * displaced or belongs to an endpoint that is no longer listed.
      */
     @Test(dataProvider = "seeds")
-    public void thePoolIsWhatTheReportsSay(long seed) {
+    public void poolMatchesTheReferencePool(long seed) {
         Pools pools = new Pools(seed, false);
         for (int step = 1; step <= STEPS; step++) {
             pools.step();
@@ -213,11 +221,11 @@
                 pools.filled >= 4 && pools.picked > STEPS / 4, pools.filled + " " + pools.picked);
     }
 
-    /** Detects a comparison that can't fail. */
+    /** The comparison must be able to fail. */
     @Test(
             expectedExceptions = AssertionError.class,
             expectedExceptionsMessageRegExp = "seed \\d+, first .*")
-    public void aPoolThatTakesOldAnswersForNewOnesIsCaught() {
+    public void poolThatAcceptsOutdatedResponsesIsCaught() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Pools pools = new Pools(seed, true);
             for (int step = 1; step <= STEPS; step++) {
--- a/core/src/test/java/cedarrudder/balancer/ProbeSchedulerTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ProbeSchedulerTest.java
@@ -9,61 +9,61 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** How many probes calls pay for: few while they go well, more where they fail. */
+/** Tests how many probes are sent: few while requests succeed, more while some fail. */
 public class ProbeSchedulerTest {
 
-    private static final int CALLS = 1000;
+    private static final int REQUESTS = 1000;
 
     /**
-     * Probes of the last of many calls, every {@code period}th of which ends so; the others are
-     * served.
+     * Returns the number of probes sent during the last {@link #REQUESTS} requests. Every {@code
+     * period}th request ends with the outcome; the others are served.
      */
-    private static int probes(BalancerParameters tuning, int period, Outcome outcome) {
+    private static int probes(BalancerParameters parameters, int period, Outcome outcome) {
         Site site = new Site();
         site.classes = List.of(Site.UNSAFE);
-        Recorder did = new Recorder();
-        PrequalBalancer decide =
-                new PrequalBalancer(site.settings(), tuning, new SplittableRandom(5), did);
+        Recorder recorder = new Recorder();
+        PrequalBalancer balancer =
+                new PrequalBalancer(site.settings(), parameters, new SplittableRandom(5), recorder);
         long now = 100 * Site.SECOND;
-        decide.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(8));
+        balancer.onEndpoints(now, EndpointListKind.CACHED, Site.readyUpTo(8));
         int sent = 0;
-        for (int id = 1; id <= 2 * CALLS; id++) {
+        for (int id = 1; id <= 2 * REQUESTS; id++) {
             now += 10 * Site.MS;
-            decide.onRequest(now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
-            sent += id > CALLS ? did.probed.size() : 0;
-            for (long endpoint : List.copyOf(did.probed)) {
-                decide.onProbeEnded(now, endpoint, Outcome.OK, 0, Site.load(0, 1));
+            balancer.onRequest(now, new Request(id, 0, 0, now + Site.SECOND, 0, false, false, 0));
+            sent += id > REQUESTS ? recorder.probed.size() : 0;
+            for (long endpoint : List.copyOf(recorder.probed)) {
+                balancer.onProbeEnded(now, endpoint, Outcome.OK, 0, Site.load(0, 1));
             }
-            did.probed.clear();
-            Recorder.Sent last = did.sent.get(did.sent.size() - 1);
-            Outcome how = id % period == 0 ? outcome : Outcome.OK;
-            decide.onAttemptEnded(
-                    now, id, 0, last.endpoint(), how, Site.MS, how == Outcome.OK, null);
+            recorder.probed.clear();
+            Recorder.Sent last = recorder.sent.get(recorder.sent.size() - 1);
+            Outcome result = id % period == 0 ? outcome : Outcome.OK;
+            balancer.onAttemptEnded(
+                    now, id, 0, last.endpoint(), result, Site.MS, result == Outcome.OK, null);
         }
         return sent;
     }
 
     @Test
-    public void callsThatGoWellPayForFewProbes() {
-        assertEquals(probes(BalancerParameters.DEFAULTS, 1, Outcome.OK), CALLS / 10, 1);
+    public void servedRequestsCauseFewProbes() {
+        assertEquals(probes(BalancerParameters.DEFAULTS, 1, Outcome.OK), REQUESTS / 10, 1);
     }
 
     @Test
-    public void callsPayForMoreWhereSomeFail() {
-        assertEquals(probes(BalancerParameters.DEFAULTS, 5, Outcome.RESET), 0.3 * CALLS, 5);
-        assertEquals(probes(BalancerParameters.DEFAULTS, 20, Outcome.ERROR), 0.2 * CALLS, 10);
+    public void failedRequestsCauseMoreProbes() {
+        assertEquals(probes(BalancerParameters.DEFAULTS, 5, Outcome.RESET), 0.3 * REQUESTS, 5);
+        assertEquals(probes(BalancerParameters.DEFAULTS, 20, Outcome.ERROR), 0.2 * REQUESTS, 10);
     }
 
     @Test
-    public void whatThisCopyCalledOffIsNoFailure() {
-        assertEquals(probes(BalancerParameters.DEFAULTS, 5, Outcome.CANCELLED), CALLS / 10, 1);
+    public void cancelledRequestsAreNoFailures() {
+        assertEquals(probes(BalancerParameters.DEFAULTS, 5, Outcome.CANCELLED), REQUESTS / 10, 1);
     }
 
     @Test
-    public void failuresNeverMeanFewerProbes() {
-        BalancerParameters eager =
+    public void failuresNeverReduceProbes() {
+        BalancerParameters oneProbePerRequest =
                 BalancerParameters.DEFAULTS.with(
                         BalancerParameters.Parameter.PROBES_PER_REQUEST, 1);
-        assertEquals(probes(eager, 5, Outcome.RESET), CALLS);
+        assertEquals(probes(oneProbePerRequest, 5, Outcome.RESET), REQUESTS);
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/Recorder.java
+++ b/core/src/test/java/cedarrudder/balancer/Recorder.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps what a replica does, one line an action, and what tests ask for most. */
+/**
+ * Records the actions of a replica, one line per action, and lists of those that tests check most.
+ */
 final class Recorder implements LoadBalancer.Actions {
     record Sent(long request, long endpoint) {}
 
@@ -12,8 +14,8 @@
     final List<String> lines = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
     final List<Long> probed = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
-    final List<Long> comeBack = new ArrayList<>();
+    final List<Long> rejected = new ArrayList<>();
+    final List<Long> retryAfters = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<Timer> timers = new ArrayList<>();
 
@@ -21,7 +23,7 @@
         lines.clear();
         sent.clear();
         probed.clear();
-        refused.clear();
+        rejected.clear();
         failed.clear();
         timers.clear();
     }
@@ -35,8 +37,8 @@
     @Override
     public void reject(long request, long retryAfter) {
         lines.add("refuse " + request);
-        refused.add(request);
-        comeBack.add(retryAfter);
+        rejected.add(request);
+        retryAfters.add(retryAfter);
     }
 
     @Override
--- a/core/src/test/java/cedarrudder/balancer/ReferenceProbePool.java
+++ b/core/src/test/java/cedarrudder/balancer/ReferenceProbePool.java
@@ -11,62 +11,66 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The pool as the design page and the paper say it, kept as the list of all that was asked and
- * told: what is valid is derived anew at each question. Slow, and without entries that could go
- * wrong.
+ * The probe pool as the design page and the paper describe it, based on the list of all probes and
+ * responses: the valid entries are derived anew at each query. This is slow, but there is no stored
+ * state that could be wrong.
  */
 final class ReferenceProbePool {
 
-    /** A probe that went out, with this replica's own requests there at that time. */
-    private record Asked(long at, EndpointState server, int own) {}
+    /**
+     * A probe that was sent, with this replica's own requests in flight at the server at that time.
+     */
+    private record ProbeSent(long at, EndpointState server, int ownInFlight) {}
 
-    /** What came back, and when the probe that it answers was sent. */
-    private record Told(
-            long at, EndpointState server, long askedAt, Outcome outcome, LoadReport load) {}
+    /** A probe response, and when its probe was sent. */
+    private record ProbeAnswered(
+            long at, EndpointState server, long probedAt, Outcome outcome, LoadReport load) {}
 
     /**
-     * From now on a server's reports count for nothing: it is no longer listed as ready, or not
-     * probed.
+     * From this event on, the earlier reports of a server are ignored: it is no longer listed as
+     * ready, or no longer probed.
      */
-    private record Forgotten(long at, EndpointState server) {}
+    private record Removed(long at, EndpointState server) {}
 
-    /** An entry: a report that still counts. */
-    record Valid(EndpointState server, long at, double rif, double latency, int own) {}
+    /** An entry of the pool: a report that is still valid. */
+    record Valid(EndpointState server, long at, double rif, double latency, int ownInFlight) {}
 
     private final List<Object> history = new ArrayList<>();
-    private Set<EndpointState> roster = Set.of();
+    private Set<EndpointState> members = Set.of();
 
-    void asked(long now, EndpointState server, int own) {
-        history.add(new Asked(now, server, own));
+    void probeSent(long now, EndpointState server, int ownInFlight) {
+        history.add(new ProbeSent(now, server, ownInFlight));
     }
 
-    void told(long now, EndpointState server, long askedAt, Outcome outcome, LoadReport load) {
-        history.add(new Told(now, server, askedAt, outcome, load));
+    void probeAnswered(
+            long now, EndpointState server, long probedAt, Outcome outcome, LoadReport load) {
+        history.add(new ProbeAnswered(now, server, probedAt, outcome, load));
     }
 
     void unlisted(long now, EndpointState server) {
-        history.add(new Forgotten(now, server));
+        history.add(new Removed(now, server));
     }
 
-    /** Those that are probed now. */
-    void roster(long now, Set<EndpointState> servers) {
-        roster.stream()
+    /** Records the servers that are probed from now on. */
+    void membersChanged(long now, Set<EndpointState> servers) {
+        members.stream()
                 .filter(s -> !servers.contains(s))
-                .forEach(s -> history.add(new Forgotten(now, s)));
-        roster = servers;
+                .forEach(s -> history.add(new Removed(now, s)));
+        members = servers;
     }
 
-    /** The reports that count now, of those that may hold this many places. */
+    /** Returns the entries that are valid now, at most as many as the pool holds. */
     List<Valid> valid(long now) {
         List<Valid> valid = new ArrayList<>();
         for (int i = 0; i < history.size(); i++) {
-            if (history.get(i) instanceof Forgotten gone) {
-                valid.removeIf(v -> v.server() == gone.server());
-            } else if (history.get(i) instanceof Told told
-                    && counts(i)
-                    && told.outcome() != Outcome.NOT_STARTED) {
-                valid.removeIf(v -> v.server() == told.server() || tooOld(told.at(), v));
-                if (told.outcome() == Outcome.OK && told.load() != null) {
+            if (history.get(i) instanceof Removed removed) {
+                valid.removeIf(v -> v.server() == removed.server());
+            } else if (history.get(i) instanceof ProbeAnswered probeAnswered
+                    && isAccepted(i)
+                    && probeAnswered.outcome() != Outcome.NOT_STARTED) {
+                valid.removeIf(
+                        v -> v.server() == probeAnswered.server() || tooOld(probeAnswered.at(), v));
+                if (probeAnswered.outcome() == Outcome.OK && probeAnswered.load() != null) {
                     if (valid.size()
                             == (int) BalancerParameters.DEFAULTS.get(Parameter.POOL_CAPACITY)) {
                         valid.remove(
@@ -76,11 +80,11 @@
                     }
                     valid.add(
                             new Valid(
-                                    told.server(),
-                                    told.at(),
-                                    told.load().inFlight(),
+                                    probeAnswered.server(),
+                                    probeAnswered.at(),
+                                    probeAnswered.load().inFlight(),
                                     latency(i),
-                                    probeOf(i).own()));
+                                    probeOf(i).ownInFlight()));
                 }
             }
         }
@@ -92,77 +96,86 @@
         return now - valid.at() > BalancerParameters.DEFAULTS.nanos(Parameter.PROBE_MAX_AGE_MS);
     }
 
-    /** The last probe of a server before an answer; null where there is none. */
-    private Asked probeOf(int answer) {
-        Asked last = null;
+    /** Returns the last probe of a server before an answer, or null if there is none. */
+    private ProbeSent probeOf(int answer) {
+        ProbeSent last = null;
         for (Object event : history.subList(0, answer)) {
             last =
-                    event instanceof Asked asked
-                                    && asked.server() == ((Told) history.get(answer)).server()
-                            ? asked
+                    event instanceof ProbeSent probeSent
+                                    && probeSent.server()
+                                            == ((ProbeAnswered) history.get(answer)).server()
+                            ? probeSent
                             : last;
         }
         return last;
     }
 
-    /** An answer counts when it is the first to the last probe of its server. */
-    private boolean counts(int answer) {
-        Told told = (Told) history.get(answer);
-        Asked probe = probeOf(answer);
-        if (probe == null || told.askedAt() != probe.at()) {
+    /**
+     * Returns whether an answer is accepted: only the first one to the last probe of its server.
+     */
+    private boolean isAccepted(int answer) {
+        ProbeAnswered probeAnswered = (ProbeAnswered) history.get(answer);
+        ProbeSent probe = probeOf(answer);
+        if (probe == null || probeAnswered.probedAt() != probe.at()) {
             return false;
         }
         return history.subList(0, answer).stream()
                 .noneMatch(
                         e ->
-                                e instanceof Told earlier
-                                        && earlier.server() == told.server()
-                                        && earlier.askedAt() == probe.at());
+                                e instanceof ProbeAnswered earlier
+                                        && earlier.server() == probeAnswered.server()
+                                        && earlier.probedAt() == probe.at());
     }
 
-    /** The reported latency, smoothed over the reports of this life of the server that counted. */
+    /**
+     * Returns the reported latency, smoothed over the accepted reports of this incarnation of the
+     * server.
+     */
     private double latency(int answer) {
         double smoothed = 0;
         for (int i = 0; i <= answer; i++) {
-            if (history.get(i) instanceof Told told
-                    && told.server() == ((Told) history.get(answer)).server()
-                    && told.outcome() == Outcome.OK
-                    && told.load() != null
-                    && counts(i)) {
+            if (history.get(i) instanceof ProbeAnswered probeAnswered
+                    && probeAnswered.server() == ((ProbeAnswered) history.get(answer)).server()
+                    && probeAnswered.outcome() == Outcome.OK
+                    && probeAnswered.load() != null
+                    && isAccepted(i)) {
                 double weight =
                         smoothed == 0
                                 ? 1
                                 : BalancerParameters.DEFAULTS.get(
                                         Parameter.REPORTED_LATENCY_WEIGHT);
-                smoothed += weight * (told.load().latencyMillis() - smoothed);
+                smoothed += weight * (probeAnswered.load().latencyMillis() - smoothed);
             }
         }
         return smoothed;
     }
 
     /**
-     * Requests in flight there, by now: own ones are known, those of others age to the mean of the
-     * pool.
+     * Returns the estimated number of requests in flight at a server: those of this replica are
+     * known, those of others decay to the mean of the pool.
      */
     private static double inFlight(long now, Valid entry, double others, double turnover) {
         double age = now - entry.at() + BalancerParameters.DEFAULTS.nanos(Parameter.REPORT_AGE_MS);
-        double kept = Math.exp(-age / turnover);
+        double retained = Math.exp(-age / turnover);
         EndpointState server = entry.server();
         return server.inFlight()
                 + (server.needsNewConnection() && !server.isUnused() ? 1 : 0)
                 + (server.isInOtherZone() ? 1 : 0)
-                + Math.max(0, others + (entry.rif() - entry.own() - others) * kept);
+                + Math.max(0, others + (entry.rif() - entry.ownInFlight() - others) * retained);
     }
 
-    /** The hot-cold rule: those with the least latency among the cold, else the least in flight. */
+    /**
+     * Returns the servers that the hot-cold rule may pick: those with the lowest latency among the
+     * cold entries, or else with the fewest requests in flight.
+     */
     List<EndpointState> picks(
             long now,
             double turnover,
-            Predicate<EndpointState> may,
+            Predicate<EndpointState> eligible,
             Predicate<EndpointState> suspect) {
         List<Valid> valid = valid(now);
         double others =
-                valid.stream().mapToDouble(v -> Math.max(0, v.rif() - v.own())).sum()
+                valid.stream().mapToDouble(v -> Math.max(0, v.rif() - v.ownInFlight())).sum()
                         / Math.max(1, valid.size());
         List<Double> rifs =
                 valid.stream()
@@ -177,7 +190,7 @@
                                 (int)
                                         (BalancerParameters.DEFAULTS.get(Parameter.RIF_QUANTILE)
                                                 * (rifs.size() - 1)));
-        List<Valid> allowed = valid.stream().filter(v -> may.test(v.server())).toList();
+        List<Valid> allowed = valid.stream().filter(v -> eligible.test(v.server())).toList();
         List<Valid> cold =
                 allowed.stream()
                         .filter(
@@ -194,11 +207,13 @@
                                     ? 0
                                     : v.latency() * (1 + inFlight(now, v, others, turnover)));
         }
-        List<Valid> sound = allowed.stream().filter(v -> !suspect.test(v.server())).toList();
-        return min(sound.isEmpty() ? allowed : sound, v -> inFlight(now, v, others, turnover));
+        List<Valid> notSuspect = allowed.stream().filter(v -> !suspect.test(v.server())).toList();
+        return min(
+                notSuspect.isEmpty() ? allowed : notSuspect,
+                v -> inFlight(now, v, others, turnover));
     }
 
-    /** All that tie for the least. */
+    /** Returns all servers that tie for the minimum. */
     private static List<EndpointState> min(List<Valid> among, ToDoubleFunction<Valid> by) {
         double min = among.stream().mapToDouble(by).min().orElse(0);
         return among.stream()
--- a/core/src/test/java/cedarrudder/balancer/RulesModel.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesModel.java
@@ -10,10 +10,10 @@
 import java.util.List;
 
 /**
- * The rules of PROTOCOL and WIRE section 10, as plainly as they can be said. It keeps all that has
- * happened as a list, and judges each step by reading that list from its start: slow, and without
- * any state of its own that could be wrong. It shares nothing with what it judges, and knows of
- * decisions only what the rules say.
+ * The rules of PROTOCOL and WIRE section 10, in their simplest form. The model records every event
+ * in a list and judges each step by reading that list from its start: this is slow, but there is no
+ * derived state that could be wrong. The model shares no code with what it judges, and knows of the
+ * decisions only what the rules state.
  */
 final class RulesModel {
 
@@ -23,12 +23,12 @@
         FAILED
     }
 
-    /** A rule is broken; the message begins with its name. */
-    static final class Broken extends AssertionError {
+    /** Thrown when a rule is broken; the message begins with the name of the rule. */
+    static final class RuleViolation extends AssertionError {
         private static final long serialVersionUID = 1;
 
-        Broken(String rule, String what) {
-            super(rule + ": " + what);
+        RuleViolation(String rule, String details) {
+            super(rule + ": " + details);
         }
     }
 
@@ -36,48 +36,50 @@
         long at();
     }
 
-    private record Taken(long at, long request, RequestClass kind) implements Event {}
+    private record Accepted(long at, long request, RequestClass requestClass) implements Event {}
 
-    /** The last byte of the request came; its client waits until then. */
-    private record Whole(long at, long request, long answerBy) implements Event {}
+    /**
+     * The last byte of the request arrived; from then on its client waits until {@code answerBy}.
+     */
+    private record UploadCompleted(long at, long request, long answerBy) implements Event {}
 
-    private record Sent(long at, long request, int attempt, String node) implements Event {}
+    private record Sent(long at, long request, int attempt, String endpoint) implements Event {}
 
     private record Ended(long at, long request, int attempt, Outcome outcome) implements Event {}
 
     private record Answered(long at, long request) implements Event {}
 
-    private record Left(long at, long request) implements Event {}
+    private record ClientLeft(long at, long request) implements Event {}
 
-    private record Told(
-            long at, String node, EndpointStatus state, int zone, int cell, long startedAt)
+    private record Listed(
+            long at, String endpoint, EndpointStatus state, int zone, int cell, long startedAt)
             implements Event {}
 
-    private record Barred(long at, String node, boolean barred) implements Event {}
+    private record AdminOverride(long at, String endpoint, boolean disabled) implements Event {}
 
     private record Killed(long at) implements Event {}
 
     /**
-     * The rule has some slack for chance. The budget is one of work, which the decisions can only
-     * judge by how long answers take; here all work is the same and times differ by chance alone.
+     * Factor that allows for chance. The budget is one of work, which the decisions can only
+     * estimate from response times; here all work is the same and times differ by chance alone.
      */
-    private static final double FOR_CHANCE = 1.3;
+    private static final double CHANCE_ALLOWANCE = 1.3;
 
     private final List<Event> history = new ArrayList<>();
     private final int maxAttempts;
-    private final boolean copies;
+    private final boolean hedging;
     private final SafetyRules safety;
     private final double capacity;
     private final long slack;
 
     /**
-     * @param copies whether two attempts of a request may be out at once
-     * @param capacity requests a second that a warm endpoint bears
-     * @param slack how much later than it should be an answer still counts
+     * @param hedging whether two attempts of a request may be in flight at once
+     * @param capacity requests per second that a warm endpoint can serve
+     * @param slack how much later than its deadline an answer is still accepted, in nanoseconds
      */
-    RulesModel(int maxAttempts, boolean copies, SafetyRules safety, double capacity, long slack) {
+    RulesModel(int maxAttempts, boolean hedging, SafetyRules safety, double capacity, long slack) {
         this.maxAttempts = maxAttempts;
-        this.copies = copies;
+        this.hedging = hedging;
         this.safety = safety;
         this.capacity = capacity;
         this.slack = slack;
@@ -87,128 +89,144 @@
         return history.size();
     }
 
-    // ---- what happens ----
+    // ---- recording events ----
 
-    void taken(long now, long request, RequestClass kind) {
-        history.add(new Taken(now, request, kind));
+    void accepted(long now, long request, RequestClass requestClass) {
+        history.add(new Accepted(now, request, requestClass));
     }
 
-    void whole(long now, long request, long answerBy) {
-        history.add(new Whole(now, request, answerBy));
+    void uploadCompleted(long now, long request, long answerBy) {
+        history.add(new UploadCompleted(now, request, answerBy));
     }
 
-    /** The first that is known of an attempt's end. */
+    /** Records the first known end of an attempt. */
     void ended(long now, long request, int attempt, Outcome outcome) {
         history.add(new Ended(now, request, attempt, outcome));
     }
 
-    void left(long now, long request) {
-        history.add(new Left(now, request));
+    void clientLeft(long now, long request) {
+        history.add(new ClientLeft(now, request));
     }
 
-    void told(long now, String node, EndpointStatus state, int zone, int cell, long startedAt) {
-        history.add(new Told(now, node, state, zone, cell, startedAt));
+    void listed(
+            long now, String endpoint, EndpointStatus state, int zone, int cell, long startedAt) {
+        history.add(new Listed(now, endpoint, state, zone, cell, startedAt));
     }
 
-    /** Operators have disabled an endpoint, or put it back. */
-    void barred(long now, String node, boolean barred) {
-        history.add(new Barred(now, node, barred));
+    /** Records that operators disabled an endpoint or enabled it again. */
+    void disabled(long now, String endpoint, boolean disabled) {
+        history.add(new AdminOverride(now, endpoint, disabled));
     }
 
-    /** The instance is killed: what it had taken is lost, and what it was told. Bans are kept. */
+    /**
+     * Records that the instance was killed: the requests that it had accepted and the endpoint
+     * lists that it had received are lost. Endpoints disabled by operators stay disabled.
+     */
     void killed(long now) {
         history.add(new Killed(now));
     }
 
-    // ---- what is judged ----
+    // ---- checking the rules ----
 
-    /** The decisions want an attempt, whether it is carried out or not. */
-    void wanted(long now, long request) {
-        check(open(request), "sent after the end", "rpc " + request);
+    /** Checks an attempt that the decisions request, whether or not it is carried out. */
+    void attemptRequested(long now, long request) {
+        check(open(request), "attempt requested after the request ended", "request " + request);
     }
 
-    /** An attempt goes out. */
-    void sent(long now, long request, int attempt, String node) {
-        check(open(request), "begun after the end", "rpc " + request);
+    /** Checks and records an attempt that is sent to an endpoint. */
+    void sent(long now, long request, int attempt, String endpoint) {
+        check(open(request), "attempt started after the request ended", "request " + request);
         List<Sent> before = attempts(request);
-        check(before.size() < maxAttempts, "too many attempts", "rpc " + request);
-        Told told = told(node);
-        check(told != null, "sent to a node that was never listed", node);
-        long offLimits = offLimitsSince(node);
+        check(before.size() < maxAttempts, "too many attempts", "request " + request);
+        Listed listed = listed(endpoint);
+        check(listed != null, "sent to an endpoint that was never listed", endpoint);
+        long offLimits = offLimitsSince(endpoint);
         check(
                 offLimits >= now - safety.drainGraceNanos(),
-                "sent to a node that drains or is gone",
-                node + " is so since " + (now - offLimits) + " ns");
+                "sent to an endpoint that is draining, removed or disabled",
+                endpoint + " has been so for " + (now - offLimits) + " ns");
         for (Sent earlier : before) {
             check(
-                    copies || ended(earlier) != null,
-                    "a second copy where none may be",
-                    "rpc " + request);
+                    hedging || ended(earlier) != null,
+                    "hedged request where hedging is off",
+                    "request " + request);
         }
-        RequestClass kind = kind(request);
+        RequestClass requestClass = requestClass(request);
         Sent ran = mayHaveRun(before);
-        if (ran != null && kind.idempotency() != Idempotency.SAFE) {
+        if (ran != null && requestClass.idempotency() != Idempotency.SAFE) {
             check(
-                    kind.idempotency() == Idempotency.KEYED,
-                    "single-send sent twice",
-                    "rpc " + request);
+                    requestClass.idempotency() == Idempotency.KEYED,
+                    "unsafe request sent twice",
+                    "request " + request);
             check(
-                    now < ran.at() + kind.keyWindowNanos(),
-                    "sent again after its key is forgotten",
-                    "rpc " + request);
-            Told then = toldAt(ran);
+                    now < ran.at() + requestClass.keyWindowNanos(),
+                    "sent again after its key window",
+                    "request " + request);
+            Listed then = listedWhenSent(ran);
             check(
-                    kind.keyScope() == KeyScope.ALL
-                            || kind.keyScope() == KeyScope.ZONE && then.zone() == told.zone()
-                            || kind.keyScope() == KeyScope.CELL && then.cell() == told.cell(),
-                    "sent again outside its group",
-                    "rpc " + request);
+                    requestClass.keyScope() == KeyScope.ALL
+                            || requestClass.keyScope() == KeyScope.ZONE
+                                    && then.zone() == listed.zone()
+                            || requestClass.keyScope() == KeyScope.CELL
+                                    && then.cell() == listed.cell(),
+                    "sent again outside its key scope",
+                    "request " + request);
         }
-        history.add(new Sent(now, request, attempt, node));
-        checkCold(now, told);
+        history.add(new Sent(now, request, attempt, endpoint));
+        checkColdStartLimit(now, listed);
     }
 
     /**
-     * The client gets its answer; {@code by} is the attempt whose answer it is, where it is served.
+     * Checks and records the answer that the client receives; {@code answeringAttempt} is the
+     * attempt that gave it, where the request was served.
      */
-    void answered(long now, long request, Answer how, int by) {
-        check(open(request), "a second answer", "rpc " + request);
+    void answered(long now, long request, Answer answer, int answeringAttempt) {
+        check(open(request), "a second answer", "request " + request);
         Long answerBy = answerBy(request);
-        check(answerBy == null || now <= answerBy + slack, "answered too late", "rpc " + request);
+        check(
+                answerBy == null || now <= answerBy + slack,
+                "answered too late",
+                "request " + request);
         List<Sent> attempts = attempts(request);
-        if (how == Answer.SERVED) {
+        if (answer == Answer.SERVED) {
             check(
-                    attempts.stream().anyMatch(s -> s.attempt() == by && ended(s) == Outcome.OK),
-                    "served with what no node made",
-                    "rpc " + request + " by attempt " + by);
+                    attempts.stream()
+                            .anyMatch(
+                                    s -> s.attempt() == answeringAttempt && ended(s) == Outcome.OK),
+                    "served an answer that no endpoint gave",
+                    "request " + request + ", attempt " + answeringAttempt);
         }
-        RequestClass kind = kind(request);
-        if (how == Answer.REFUSED) {
+        RequestClass requestClass = requestClass(request);
+        if (answer == Answer.REFUSED) {
             check(
                     mayHaveRun(attempts) == null
-                            || kind.idempotency() == Idempotency.SAFE
-                            || kind.idempotency() == Idempotency.KEYED
-                                    && kind.keyScope() == KeyScope.ALL,
-                    "refused though it may have run",
-                    "rpc " + request);
+                            || requestClass.idempotency() == Idempotency.SAFE
+                            || requestClass.idempotency() == Idempotency.KEYED
+                                    && requestClass.keyScope() == KeyScope.ALL,
+                    "rejected though it may have run",
+                    "request " + request);
         }
         history.add(new Answered(now, request));
     }
 
-    /** By now each request whose time is over has its answer. */
+    /** Checks that each request whose deadline has passed has been answered. */
     void checkAllAnswered(long now) {
         for (Event event : sinceKill()) {
-            if (event instanceof Whole whole && now > whole.answerBy() + slack) {
-                check(!open(whole.request()), "no answer", "rpc " + whole.request());
+            if (event instanceof UploadCompleted uploadCompleted
+                    && now > uploadCompleted.answerBy() + slack) {
+                check(
+                        !open(uploadCompleted.request()),
+                        "no answer",
+                        "request " + uploadCompleted.request());
             }
         }
     }
 
-    // ---- reading the list ----
+    // ---- reading the recorded events ----
 
-    private static void check(boolean holds, String rule, String what) {
+    private static void check(boolean holds, String rule, String details) {
         if (!holds) {
-            throw new Broken(rule, what);
+            throw new RuleViolation(rule, details);
         }
     }
 
@@ -223,26 +241,30 @@
     private boolean open(long request) {
         boolean open = false;
         for (Event event : sinceKill()) {
-            open |= event instanceof Taken taken && taken.request() == request;
+            open |= event instanceof Accepted accepted && accepted.request() == request;
             open &=
                     !(event instanceof Answered answered && answered.request() == request)
-                            && !(event instanceof Left left && left.request() == request);
+                            && !(event instanceof ClientLeft clientLeft
+                                    && clientLeft.request() == request);
         }
         return open;
     }
 
-    private RequestClass kind(long request) {
+    private RequestClass requestClass(long request) {
         return history.stream()
-                .filter(e -> e instanceof Taken taken && taken.request() == request)
-                .map(e -> ((Taken) e).kind())
+                .filter(e -> e instanceof Accepted accepted && accepted.request() == request)
+                .map(e -> ((Accepted) e).requestClass())
                 .findFirst()
                 .orElseThrow();
     }
 
     private Long answerBy(long request) {
         return history.stream()
-                .filter(e -> e instanceof Whole whole && whole.request() == request)
-                .map(e -> ((Whole) e).answerBy())
+                .filter(
+                        e ->
+                                e instanceof UploadCompleted uploadCompleted
+                                        && uploadCompleted.request() == request)
+                .map(e -> ((UploadCompleted) e).answerBy())
                 .findFirst()
                 .orElse(null);
     }
@@ -254,7 +276,7 @@
                 .toList();
     }
 
-    /** How an attempt ended; null while it is out. */
+    /** Returns how an attempt ended, or null while it is in flight. */
     private Outcome ended(Sent sent) {
         return history.stream()
                 .filter(
@@ -274,71 +296,87 @@
                 .orElse(null);
     }
 
-    /** What was last told of an endpoint; null where it was never listed. */
-    private Told told(String node) {
-        Told last = null;
+    /** Returns the last listing of an endpoint, or null if it was never listed. */
+    private Listed listed(String endpoint) {
+        Listed last = null;
         for (Event event : sinceKill()) {
-            last = event instanceof Told told && told.node().equals(node) ? told : last;
+            last =
+                    event instanceof Listed listed && listed.endpoint().equals(endpoint)
+                            ? listed
+                            : last;
         }
         return last;
     }
 
-    private Told toldAt(Sent sent) {
-        Told last = null;
+    private Listed listedWhenSent(Sent sent) {
+        Listed last = null;
         for (Event event : history.subList(0, history.indexOf(sent))) {
-            last = event instanceof Told told && told.node().equals(sent.node()) ? told : last;
+            last =
+                    event instanceof Listed listed && listed.endpoint().equals(sent.endpoint())
+                            ? listed
+                            : last;
         }
         return last;
     }
 
-    /** Since when an endpoint may get nothing new; {@link Long#MAX_VALUE} where it may. */
-    private long offLimitsSince(String node) {
-        long listed = Long.MAX_VALUE;
-        long barred = Long.MAX_VALUE;
+    /**
+     * Returns the time since which an endpoint may receive nothing new, or {@link Long#MAX_VALUE}
+     * if it may.
+     */
+    private long offLimitsSince(String endpoint) {
+        long notReadySince = Long.MAX_VALUE;
+        long disabledSince = Long.MAX_VALUE;
         for (Event event : history) {
             if (event instanceof Killed) {
-                listed = Long.MAX_VALUE; // the next instance is told anew
-            } else if (event instanceof Told told && told.node().equals(node)) {
-                listed =
-                        told.state() == EndpointStatus.READY
+                notReadySince = Long.MAX_VALUE; // the next instance receives a list of its own
+            } else if (event instanceof Listed listed && listed.endpoint().equals(endpoint)) {
+                notReadySince =
+                        listed.state() == EndpointStatus.READY
                                 ? Long.MAX_VALUE
-                                : Math.min(listed, told.at());
-            } else if (event instanceof Barred by && by.node().equals(node)) {
-                barred = by.barred() ? Math.min(barred, by.at()) : Long.MAX_VALUE;
+                                : Math.min(notReadySince, listed.at());
+            } else if (event instanceof AdminOverride override
+                    && override.endpoint().equals(endpoint)) {
+                disabledSince =
+                        override.disabled()
+                                ? Math.min(disabledSince, override.at())
+                                : Long.MAX_VALUE;
             }
         }
-        return Math.min(listed, barred);
+        return Math.min(notReadySince, disabledSince);
     }
 
     /**
-     * An endpoint that started a short while ago has got no more within the window that ends now
-     * than the budget allows for its capacity now. Each send ends a window, so every window is
-     * looked at.
+     * Checks that an endpoint that started a short while ago has received no more requests within
+     * the window that ends now than the budget allows for its current capacity. Each send ends a
+     * window, so every window is checked.
      */
-    private void checkCold(long now, Told told) {
-        long age = now - told.startedAt();
-        if (told.startedAt() == 0 || age >= safety.slowStartNanos()) {
+    private void checkColdStartLimit(long now, Listed listed) {
+        long age = now - listed.startedAt();
+        if (listed.startedAt() == 0 || age >= safety.slowStartNanos()) {
             return;
         }
-        double part =
+        double capacityShare =
                 safety.coldCapacityShare()
                         + (1 - safety.coldCapacityShare()) * age / safety.slowStartNanos();
         double max =
-                FOR_CHANCE
+                CHANCE_ALLOWANCE
                         * safety.overloadMultiple()
-                        * part
+                        * capacityShare
                         * capacity
                         * safety.overloadWindowNanos()
                         / 1e9;
-        long got =
+        long received =
                 history.stream()
                         .filter(
                                 e ->
                                         e instanceof Sent sent
-                                                && sent.node().equals(told.node())
+                                                && sent.endpoint().equals(listed.endpoint())
                                                 && sent.at() > now - safety.overloadWindowNanos()
-                                                && sent.at() >= told.startedAt())
+                                                && sent.at() >= listed.startedAt())
                         .count();
-        check(got <= max, "a cold node pushed over", told.node() + " got " + got + " of " + max);
+        check(
+                received <= max,
+                "cold endpoint overloaded",
+                listed.endpoint() + " received " + received + " requests, allowed: " + max);
     }
 }
