--- a/core/src/test/java/cedarrudder/balancer/RulesTest.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesTest.java
@@ -10,29 +10,25 @@
 import org.testng.annotations.Test;
 
 /**
- * The real driver, module and overlay of endpoints by hand, step by step beside the model of the
- * rules.
+ * Checks the real request forwarder, balancer and admin overrides step by step against the model of
+ * the rules.
  */
 public class RulesTest {
 
-    private static final int RPCS = 400;
+    private static final int REQUESTS = 400;
     private static final int SEEDS = 150;
 
-    /** Seeds in which a part made wrong must be caught once. */
-    private static final int SEEDS_TO_CATCH = 60;
+    /** Number of seeds within which an injected fault must be caught at least once. */
+    private static final int MAX_SEEDS_TO_CATCH = 60;
 
-    /**
-     * Plays a seed; what fails names the seed, and the number of events that are needed for it to
-     * fail.
-     */
+    /** Runs a seed; a failure names the seed and the number of events after which it occurs. */
     private static RulesWorld play(long seed, Fault fault) {
         RulesWorld world = new RulesWorld(seed, fault);
         try {
-            world.run(RPCS);
+            world.run(REQUESTS);
         } catch (AssertionError e) {
-            // A run is a function of its seed, and ends at the first event that breaks a rule: no
-            // shorter
-            // prefix of it fails.
+            // A run is a function of its seed and ends at the first event that breaks a rule: no
+            // shorter prefix of it fails.
             throw new AssertionError(
                     "seed " + seed + ", first " + world.events() + " events: " + e.getMessage(), e);
         }
@@ -46,16 +42,16 @@
                 .toArray(Object[][]::new);
     }
 
-    /** Detects any rule broken by a history that is legal but odd. */
+    /** Random histories that are legal but unusual must break no rule. */
     @Test(dataProvider = "seeds")
-    public void theRulesHoldWhateverHappens(long seed) {
+    public void rulesHoldUnderRandomEvents(long seed) {
         RulesWorld world = play(seed, Fault.NONE);
-        assertTrue(world.served() > RPCS / 8, "served " + world.served());
+        assertTrue(world.served() > REQUESTS / 8, "served " + world.served());
     }
 
-    /** Detects decisions that depend on anything but the events. */
+    /** Decisions must depend on nothing but the events. */
     @Test
-    public void theSameEventsMakeTheSameActions() {
+    public void sameSeedGivesSameActions() {
         for (long seed = 1; seed <= 3; seed++) {
             assertEquals(play(seed, Fault.NONE).transcript(), play(seed, Fault.NONE).transcript());
         }
@@ -69,17 +65,17 @@
                 .toArray(Object[][]::new);
     }
 
-    /** Detects a model that can't fail: each rule is broken on purpose, and must be named. */
+    /** The model must be able to fail: each rule is broken on purpose and must be named. */
     @Test(dataProvider = "faults")
-    public void aPartMadeWrongIsCaught(Fault fault) {
-        String said = "nothing";
-        for (long seed = 1; seed <= SEEDS_TO_CATCH && !said.contains(fault.rule); seed++) {
+    public void injectedFaultIsCaughtByTheModel(Fault fault) {
+        String failure = "nothing";
+        for (long seed = 1; seed <= MAX_SEEDS_TO_CATCH && !failure.contains(fault.rule); seed++) {
             try {
                 play(seed, fault);
             } catch (AssertionError e) {
-                said = e.getMessage();
+                failure = e.getMessage();
             }
         }
-        assertTrue(said.contains(fault.rule), fault + ": " + said);
+        assertTrue(failure.contains(fault.rule), fault + ": " + failure);
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/RulesWorld.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesWorld.java
@@ -34,35 +34,35 @@
 import java.util.TreeSet;
 
 /**
- * A world of legal but odd events round the real driver, module and overlay of endpoints by hand,
- * with the model of the rules beside them: each step is told to both. All is drawn from one seed. A
- * {@link Fault} makes one part wrong on purpose, which the model must catch.
+ * Drives the real request forwarder, balancer and admin overrides with random events that are legal
+ * but unusual, and reports each step to the model of the rules as well. Everything is drawn from
+ * one seed. A {@link Fault} makes one part wrong on purpose, which the model must catch.
  */
 final class RulesWorld {
 
-    /** What is made wrong. */
+    /** The part that is made wrong on purpose. */
     enum Fault {
         NONE(""),
-        RESENDS_SINGLE_SEND("single-send sent twice"),
-        REFUSES_WHAT_MAY_HAVE_RUN("refused though it may have run"),
-        LEAVES_THE_POD("sent again outside its group"),
-        FORGETS_THE_WINDOW("sent again after its key is forgotten"),
+        RESENDS_SINGLE_SEND("unsafe request sent twice"),
+        REFUSES_WHAT_MAY_HAVE_RUN("rejected though it may have run"),
+        LEAVES_THE_POD("sent again outside its key scope"),
+        FORGETS_THE_WINDOW("sent again after its key window"),
         TRIES_WITHOUT_END("too many attempts"),
-        COPIES_WHERE_FORBIDDEN("a second copy where none may be"),
+        COPIES_WHERE_FORBIDDEN("hedged request where hedging is off"),
         ANSWERS_TWICE("a second answer"),
         FORGETS_TO_ANSWER("no answer"),
         ANSWERS_LATE("answered too late"),
-        SENDS_TO_DRAINING("sent to a node that drains or is gone"),
-        IGNORES_BANS("sent to a node that drains or is gone"),
-        SENDS_TO_UNLISTED("sent to a node that was never listed"),
-        PUSHES_COLD_NODES("a cold node pushed over"),
-        SENDS_AFTER_THE_END("sent after the end"),
-        BEGINS_FOR_NOBODY("begun after the end"),
-        BEGINS_ON_DRAINING("sent to a node that drains or is gone"),
-        BEGINS_AFTER_THE_WINDOW("sent again after its key is forgotten"),
-        MAKES_UP_AN_ANSWER("served with what no node made");
-
-        /** The rule that it breaks. */
+        SENDS_TO_DRAINING("sent to an endpoint that is draining, removed or disabled"),
+        IGNORES_BANS("sent to an endpoint that is draining, removed or disabled"),
+        SENDS_TO_UNLISTED("sent to an endpoint that was never listed"),
+        PUSHES_COLD_NODES("cold endpoint overloaded"),
+        SENDS_AFTER_THE_END("attempt requested after the request ended"),
+        BEGINS_FOR_NOBODY("attempt started after the request ended"),
+        BEGINS_ON_DRAINING("sent to an endpoint that is draining, removed or disabled"),
+        BEGINS_AFTER_THE_WINDOW("sent again after its key window"),
+        MAKES_UP_AN_ANSWER("served an answer that no endpoint gave");
+
+        /** The rule that the fault breaks. */
         final String rule;
 
         Fault(String rule) {
@@ -72,27 +72,28 @@
 
     private static final long MS = Site.MS;
     private static final int NODES = 9;
-    private static final int MAX_AWAY = 3;
-    private static final long STRANGER = 999;
+    private static final int MAX_UNSETTLED = 3;
+    private static final long UNLISTED_ENDPOINT = 999;
 
-    /** These show only where the balancer lets each attempt begin. */
-    private static final Set<Fault> DENIES_NOTHING =
+    /** Faults that show only if the balancer permits each attempt to start. */
+    private static final Set<Fault> WITHOUT_START_DENIAL =
             Set.of(
                     Fault.RESENDS_SINGLE_SEND,
                     Fault.BEGINS_ON_DRAINING,
                     Fault.BEGINS_AFTER_THE_WINDOW);
 
-    /** Each warm endpoint bears this many requests a second, and this many come in all. */
+    /** Requests per second that each warm endpoint can serve. */
     private static final double CAPACITY = 12;
 
-    private static final long BETWEEN = 25 * MS;
+    /** Mean time between two requests, in nanoseconds. */
+    private static final long MEAN_INTERVAL = 25 * MS;
 
     private record Due(long at, long order, int instance, Runnable what) {}
 
     final SplittableRandom random;
     private final Fault fault;
     private final BalancerSettings settings;
-    private final boolean shared;
+    private final boolean changesZoneShares;
     private final RulesModel model;
     private final StringBuilder transcript = new StringBuilder();
     private final PriorityQueue<Due> due =
@@ -102,21 +103,21 @@
                                     ? Long.compare(a.at, b.at)
                                     : Long.compare(a.order, b.order));
 
-    /** The endpoints as they are, and as they were when an old list was made. */
+    /** The current endpoints by name; {@link #staleEndpoints} is an earlier state of them. */
     private final Map<String, Endpoint> nodes = new TreeMap<>();
 
-    private Map<String, Endpoint> old = Map.of();
+    private Map<String, Endpoint> staleEndpoints = Map.of();
     private final TreeSet<String> disabled = new TreeSet<>();
     private final Map<Long, Exchange<String, String>> uploading = new HashMap<>();
 
-    /** The requests whose clients have gone, though the driver may not have heard of it. */
-    private final Set<Long> gone = new HashSet<>();
+    /** The requests whose clients have left, even if the forwarder has not been notified yet. */
+    private final Set<Long> departedClients = new HashSet<>();
 
-    private Map<Long, String> known = new HashMap<>();
-    private AdminOverrides rotation;
-    private RequestMetrics figures;
-    private RequestForwarder<String, String> driver;
-    private LoadBalancer.Actions hands;
+    private Map<Long, String> listedNames = new HashMap<>();
+    private AdminOverrides overrides;
+    private RequestMetrics metrics;
+    private RequestForwarder<String, String> forwarder;
+    private LoadBalancer.Actions balancerActions;
     private int instance;
     private long now;
     private long order;
@@ -126,26 +127,24 @@
     RulesWorld(long seed, Fault fault) {
         this.random = new SplittableRandom(seed);
         this.fault = fault;
-        this.shared = seed / 2 % 2 == 1;
-        // An instant's zero means nothing: some runs begin before it.
+        this.changesZoneShares = seed / 2 % 2 == 1;
+        // Zero has no special meaning as an instant: some runs begin before it.
         this.now = seed % 2 == 0 ? 5000 * MS : -4000 * MS;
         Site site = new Site();
         site.classes =
                 List.of(Site.SAFE, Site.UNSAFE, Site.KEYED, Site.KEYED_IN_CELL, Site.KEYED_IN_ZONE);
-        site.parallelTries = random.nextBoolean() && fault != Fault.COPIES_WHERE_FORBIDDEN;
-        site.ask = random.nextBoolean();
+        site.hedging = random.nextBoolean() && fault != Fault.COPIES_WHERE_FORBIDDEN;
+        site.pollsEndpoints = random.nextBoolean();
         site.tenants = List.of(new BalancerSettings.Tenant("a", 1, 100));
         site.tiers = 2;
         site.tier = fault == Fault.NONE ? random.nextInt(2) : 1;
         site.maxAttempts = 1 + random.nextInt(4);
-        site.drainGrace = 100 * MS; // shorter than many a connection takes to come up
+        site.drainGrace = 100 * MS; // shorter than many connections take to open
         if (fault.rule.startsWith("sent again") || fault == Fault.TRIES_WITHOUT_END) {
             site.maxAttempts = 4;
         }
         BalancerSettings real = site.settings();
-        model =
-                new RulesModel(
-                        site.maxAttempts, site.parallelTries, real.safety(), CAPACITY, 50 * MS);
+        model = new RulesModel(site.maxAttempts, site.hedging, real.safety(), CAPACITY, 50 * MS);
         if (fault == Fault.TRIES_WITHOUT_END) {
             site.maxAttempts = 9;
         }
@@ -154,24 +153,27 @@
 
     // ---- the run ----
 
-    /** Plays this many requests; an error tells the seed's prefix by the number of events. */
+    /**
+     * Runs the given number of requests; on an error, {@link #events} is the number of events up to
+     * the failure.
+     */
     void run(int requests) {
         for (int i = 1; i <= NODES; i++) {
             nodes.put("n" + i, Site.endpoint(i, i % 2, i % 3, EndpointStatus.READY, 0));
         }
-        old = new TreeMap<>(nodes);
-        begin();
+        staleEndpoints = new TreeMap<>(nodes);
+        startInstance();
         long when = now;
         for (int i = 0; i < requests; i++) {
-            when += random.nextLong(2 * BETWEEN);
-            anytime(when, this::arrive);
+            when += random.nextLong(2 * MEAN_INTERVAL);
+            scheduleForAnyInstance(when, this::arrive);
         }
         long end = when + 3000 * MS;
         for (long t = now; t < end; t += 150 * MS) {
-            anytime(t, this::happen);
-            anytime(t + 75 * MS, this::share);
+            scheduleForAnyInstance(t, this::changeEndpoints);
+            scheduleForAnyInstance(t + 75 * MS, this::changeZoneShares);
         }
-        anytime(now + (end - now) / 2, this::killAndRestart);
+        scheduleForAnyInstance(now + (end - now) / 2, this::killAndRestart);
         for (int events = 0; !due.isEmpty() && due.peek().at <= end; events++) {
             Due next = due.poll();
             now = Math.max(now, next.at);
@@ -184,15 +186,19 @@
         }
         model.checkAllAnswered(end);
         long ended = 0;
-        for (int kind = 0; kind < figures.classes(); kind++) {
+        for (int kind = 0; kind < metrics.classes(); kind++) {
             for (End how : End.values()) {
-                ended += figures.ended(kind, how);
+                ended += metrics.ended(kind, how);
             }
-            ended -= figures.accepted(kind);
+            ended -= metrics.accepted(kind);
         }
-        if (ended + figures.openRequests() != 0 || figures.openRequests() != 0) {
+        if (ended + metrics.openRequests() != 0 || metrics.openRequests() != 0) {
             throw new AssertionError(
-                    "counted " + ended + " too many ends, " + figures.openRequests() + " open");
+                    "counted ends minus accepted requests: "
+                            + ended
+                            + "; still open: "
+                            + metrics.openRequests()
+                            + " requests");
         }
     }
 
@@ -208,51 +214,54 @@
         return transcript.toString();
     }
 
-    /** An event of the world's, whichever instance is there then. */
-    private void anytime(long when, Runnable what) {
+    /** Schedules an event that runs whichever instance is running then. */
+    private void scheduleForAnyInstance(long when, Runnable what) {
         due.add(new Due(when, order++, 0, what));
     }
 
-    /** An event of this instance's: it is gone with it. */
+    /**
+     * Schedules an event of the current instance, which is dropped when that instance is killed.
+     */
     private void at(long when, Runnable what) {
         due.add(new Due(when, order++, instance, what));
     }
 
-    private void begin() {
+    private void startInstance() {
         instance++;
-        known = new HashMap<>();
-        rotation = new AdminOverrides();
-        disabled.forEach(rotation::disable);
-        figures = new RequestMetrics(settings.classes().size());
+        listedNames = new HashMap<>();
+        overrides = new AdminOverrides();
+        disabled.forEach(overrides::disable);
+        metrics = new RequestMetrics(settings.classes().size());
         uploading.clear();
-        SplittableRandom forModule = random.split();
-        driver =
+        SplittableRandom balancerRandom = random.split();
+        forwarder =
                 new RequestForwarder<>(
-                        actions -> module(actions, forModule),
+                        actions -> interceptedBalancer(actions, balancerRandom),
                         settings.limits().maxAttempts(),
                         new Clock(),
                         new Logger(new PrintStream(OutputStream.nullOutputStream())),
                         null,
-                        figures);
-        driver.attach(new Client(), new Discovery(), (replica, message) -> {});
-        tell(EndpointListKind.CACHED, old);
+                        metrics);
+        forwarder.attach(new Client(), new Discovery(), (replica, message) -> {});
+        sendEndpointList(EndpointListKind.CACHED, staleEndpoints);
     }
 
     private void killAndRestart() {
         model.killed(now);
-        begin();
+        startInstance();
     }
 
-    // ---- parts made wrong ----
+    // ---- fault injection ----
 
-    private LoadBalancer module(LoadBalancer.Actions driverHands, SplittableRandom forModule) {
-        hands = twisted(LoadBalancer.Actions.class, driverHands, this::act);
-        BalancerSettings toldOf = settings;
+    private LoadBalancer interceptedBalancer(
+            LoadBalancer.Actions forwarderActions, SplittableRandom balancerRandom) {
+        balancerActions =
+                intercepted(LoadBalancer.Actions.class, forwarderActions, this::onBalancerAction);
+        BalancerSettings balancerSettings = settings;
         if (fault == Fault.FORGETS_THE_WINDOW || fault == Fault.COPIES_WHERE_FORBIDDEN) {
             Site wrong = new Site();
-            wrong.parallelTries =
-                    fault == Fault.COPIES_WHERE_FORBIDDEN || settings.limits().hedging();
-            wrong.ask = settings.pollsEndpoints();
+            wrong.hedging = fault == Fault.COPIES_WHERE_FORBIDDEN || settings.limits().hedging();
+            wrong.pollsEndpoints = settings.pollsEndpoints();
             wrong.tiers = 2;
             wrong.tier = 1;
             wrong.maxAttempts = settings.limits().maxAttempts();
@@ -271,33 +280,35 @@
                                                     50 * c.keyWindowNanos(),
                                                     false))
                             .toList();
-            toldOf = wrong.settings();
+            balancerSettings = wrong.settings();
         }
-        return twisted(
-                LoadBalancer.class, new PrequalBalancer(toldOf, forModule, hands), this::hear);
+        return intercepted(
+                LoadBalancer.class,
+                new PrequalBalancer(balancerSettings, balancerRandom, balancerActions),
+                this::onBalancerEvent);
     }
 
-    private interface Twist {
-        /** Changes what is passed on, or does something else besides. */
+    private interface CallInterceptor {
+        /** Changes the arguments of a call, or does something else in addition. */
         void change(String method, Object[] arguments);
     }
 
-    private <T> T twisted(Class<T> type, T sound, Twist twist) {
+    private <T> T intercepted(Class<T> type, T sound, CallInterceptor interceptor) {
         return type.cast(
                 Proxy.newProxyInstance(
                         type.getClassLoader(),
                         new Class<?>[] {type},
                         (self, method, arguments) -> {
                             if (arguments != null) {
-                                twist.change(method.getName(), arguments);
+                                interceptor.change(method.getName(), arguments);
                             }
                             try {
                                 if (fault == Fault.REFUSES_WHAT_MAY_HAVE_RUN
                                         && method.getName().equals("fail")) {
-                                    hands.reject((long) arguments[0], 0);
+                                    balancerActions.reject((long) arguments[0], 0);
                                     return null;
                                 }
-                                if (DENIES_NOTHING.contains(fault)
+                                if (WITHOUT_START_DENIAL.contains(fault)
                                         && method.getName().equals("startDenial")) {
                                     return null;
                                 }
@@ -308,12 +319,12 @@
                         }));
     }
 
-    /** What the balancer does, before the driver sees it. */
-    private void act(String action, Object[] a) {
+    /** Intercepts an action of the balancer before it reaches the forwarder. */
+    private void onBalancerAction(String action, Object[] a) {
         transcript.append(now).append(' ').append(action).append(' ').append(a[0]).append('\n');
         if (action.equals("startAttempt")) {
-            if (!gone.contains((long) a[0])) {
-                model.wanted(now, (long) a[0]);
+            if (!departedClients.contains((long) a[0])) {
+                model.attemptRequested(now, (long) a[0]);
             }
             if (fault == Fault.LEAVES_THE_POD) {
                 List<Long> ready =
@@ -323,16 +334,16 @@
                                 .toList();
                 a[1] = ready.get(random.nextInt(ready.size()));
             } else if (fault == Fault.SENDS_TO_UNLISTED && random.nextInt(20) == 0) {
-                a[1] = STRANGER;
+                a[1] = UNLISTED_ENDPOINT;
             }
         }
     }
 
-    /** What the balancer hears, before it does. */
+    /** Intercepts an event before it reaches the balancer. */
     @SuppressWarnings("unchecked")
-    private void hear(String event, Object[] a) {
+    private void onBalancerEvent(String event, Object[] a) {
         if (event.equals("onEndpoints")) {
-            boolean hides = fault == Fault.SENDS_TO_DRAINING;
+            boolean hidesDraining = fault == Fault.SENDS_TO_DRAINING;
             a[2] =
                     ((List<Endpoint>) a[2])
                             .stream()
@@ -343,7 +354,7 @@
                                                             e.zone(),
                                                             e.kind(),
                                                             e.cell(),
-                                                            hides
+                                                            hidesDraining
                                                                             && e.status()
                                                                                     == EndpointStatus
                                                                                             .DRAINING
@@ -358,22 +369,23 @@
                 && a[4] == Outcome.RESET
                 && !(boolean) a[6]
                 && fault == Fault.RESENDS_SINGLE_SEND) {
-            hands.startAttempt((long) a[1], (long) a[3], 0);
+            balancerActions.startAttempt((long) a[1], (long) a[3], 0);
         } else if (event.equals("onAttemptEnded")
                 && (boolean) a[6]
                 && fault == Fault.SENDS_AFTER_THE_END) {
-            hands.startAttempt((long) a[1], (long) a[3], 0);
+            balancerActions.startAttempt((long) a[1], (long) a[3], 0);
         }
     }
 
     // ---- endpoints and discovery ----
 
-    private void happen() {
+    private void changeEndpoints() {
         String name = "n" + (1 + random.nextInt(NODES));
         Endpoint node = nodes.get(name);
         switch (random.nextInt(10)) {
             case 8 -> {
-                // It moves to another cell and runs on, which discovery may tell late.
+                // The endpoint moves to another cell and keeps running, which discovery may report
+                // late.
                 nodes.put(
                         name,
                         Site.endpoint(
@@ -382,36 +394,38 @@
                                 (node.cell() + 1) % 3,
                                 node.status(),
                                 node.startedAt()));
-                tell(EndpointListKind.DELTA, Map.of(name, nodes.get(name)));
+                sendEndpointList(EndpointListKind.DELTA, Map.of(name, nodes.get(name)));
             }
             case 0, 1 -> change(name, node, EndpointStatus.DRAINING, node.startedAt());
             case 2 -> change(name, node, EndpointStatus.REMOVED, node.startedAt());
             case 3 -> change(name, node, EndpointStatus.READY, now);
-            case 4 -> tell(EndpointListKind.FULL, nodes);
-            case 5 -> tell(EndpointListKind.FULL, old);
-            case 6 -> tell(EndpointListKind.DELTA, nodes);
-            case 7 -> byHand(name);
-            default -> old = new TreeMap<>(nodes);
-        }
-        for (Map.Entry<String, Endpoint> away : List.copyOf(nodes.entrySet())) {
-            if (away.getValue().status() != EndpointStatus.READY && random.nextInt(6) == 0) {
-                // Back after a restart, or the drain was cancelled.
+            case 4 -> sendEndpointList(EndpointListKind.FULL, nodes);
+            case 5 -> sendEndpointList(EndpointListKind.FULL, staleEndpoints);
+            case 6 -> sendEndpointList(EndpointListKind.DELTA, nodes);
+            case 7 -> toggleAdminOverride(name);
+            default -> staleEndpoints = new TreeMap<>(nodes);
+        }
+        for (Map.Entry<String, Endpoint> unavailable : List.copyOf(nodes.entrySet())) {
+            if (unavailable.getValue().status() != EndpointStatus.READY && random.nextInt(6) == 0) {
+                // Ready again after a restart, or because the drain was cancelled.
                 boolean restarted =
-                        away.getValue().status() == EndpointStatus.REMOVED || random.nextBoolean();
+                        unavailable.getValue().status() == EndpointStatus.REMOVED
+                                || random.nextBoolean();
                 change(
-                        away.getKey(),
-                        away.getValue(),
+                        unavailable.getKey(),
+                        unavailable.getValue(),
                         EndpointStatus.READY,
-                        restarted ? now : away.getValue().startedAt());
+                        restarted ? now : unavailable.getValue().startedAt());
             }
         }
     }
 
     /**
-     * In one seed of two shares take the place of others, or of none; a zone may have no endpoint.
+     * Replaces the zone shares or removes them, in every second pair of seeds; a zone may have no
+     * endpoint.
      */
-    private void share() {
-        if (shared && random.nextInt(3) == 0) {
+    private void changeZoneShares() {
+        if (changesZoneShares && random.nextInt(3) == 0) {
             int far = random.nextInt(4);
             int parts = 1_000 * random.nextInt(11);
             List<ZoneTrafficShare> shares = new ArrayList<>();
@@ -425,7 +439,7 @@
                                 10_000 - parts - random.nextInt(2_000),
                                 20 * random.nextInt(3)));
             }
-            driver.zoneSharesUpdated(random.nextInt(4) == 0 ? List.of() : shares);
+            forwarder.zoneSharesUpdated(random.nextInt(4) == 0 ? List.of() : shares);
         }
     }
 
@@ -436,34 +450,35 @@
     }
 
     private void change(String name, Endpoint node, EndpointStatus state, long startedAt) {
-        // So few are away at once that the others bear what comes.
-        if (settled(node) && nodes.values().stream().filter(n -> !settled(n)).count() >= MAX_AWAY) {
+        // Few enough are unavailable at once that the others can serve the load.
+        if (settled(node)
+                && nodes.values().stream().filter(n -> !settled(n)).count() >= MAX_UNSETTLED) {
             return;
         }
         nodes.put(name, Site.endpoint(node.id(), node.zone(), node.cell(), state, startedAt));
         if (random.nextInt(4) > 0) {
-            tell(EndpointListKind.DELTA, Map.of(name, nodes.get(name)));
+            sendEndpointList(EndpointListKind.DELTA, Map.of(name, nodes.get(name)));
         }
     }
 
     /**
-     * A list reaches the instance: as {@code EndpointConnectionPool} does, and as {@code
-     * ProxyServer} does.
+     * Sends an endpoint list to the instance, as {@code EndpointConnectionPool} and {@code
+     * ProxyServer} do.
      */
-    private void tell(EndpointListKind kind, Map<String, Endpoint> list) {
+    private void sendEndpointList(EndpointListKind kind, Map<String, Endpoint> list) {
         List<AdminOverrides.NamedEndpoint> named = new ArrayList<>();
         if (kind != EndpointListKind.DELTA) {
             for (String name : nodes.keySet()) {
                 if (!list.containsKey(name) || list.get(name).status() == EndpointStatus.REMOVED) {
-                    model.told(now, name, EndpointStatus.REMOVED, 0, 0, 0);
+                    model.listed(now, name, EndpointStatus.REMOVED, 0, 0, 0);
                 }
             }
-            known.clear();
+            listedNames.clear();
         }
         list.forEach(
                 (name, node) -> {
                     if (kind == EndpointListKind.DELTA || node.status() != EndpointStatus.REMOVED) {
-                        model.told(
+                        model.listed(
                                 now,
                                 name,
                                 node.status(),
@@ -472,38 +487,38 @@
                                 node.startedAt());
                         named.add(new AdminOverrides.NamedEndpoint(name, node));
                         if (node.status() == EndpointStatus.REMOVED) {
-                            known.remove(node.id());
+                            listedNames.remove(node.id());
                         } else {
-                            known.put(node.id(), name);
+                            listedNames.put(node.id(), name);
                         }
                     }
                 });
-        List<Endpoint> shown = rotation.updateListed(kind, named);
-        driver.endpointsUpdated(
+        List<Endpoint> shown = overrides.updateListed(kind, named);
+        forwarder.endpointsUpdated(
                 kind,
                 fault == Fault.IGNORES_BANS
                         ? named.stream().map(AdminOverrides.NamedEndpoint::endpoint).toList()
                         : shown);
     }
 
-    private void byHand(String name) {
-        boolean bar = !disabled.contains(name);
-        if (bar && disabled.size() >= 2) {
+    private void toggleAdminOverride(String name) {
+        boolean disabling = !disabled.contains(name);
+        if (disabling && disabled.size() >= 2) {
             return;
         }
-        model.barred(now, name, bar);
-        if (bar) {
+        model.disabled(now, name, disabling);
+        if (disabling) {
             disabled.add(name);
-            rotation.disable(name);
+            overrides.disable(name);
         } else {
             disabled.remove(name);
-            rotation.enable(name, now);
+            overrides.enable(name, now);
         }
-        Endpoint shown = rotation.effectiveEndpoint(name);
+        Endpoint shown = overrides.effectiveEndpoint(name);
         if (shown != null && fault != Fault.IGNORES_BANS) {
-            driver.endpointsUpdated(EndpointListKind.DELTA, List.of(shown));
-            if (!bar) {
-                driver.endpointReenabled(shown.id());
+            forwarder.endpointsUpdated(EndpointListKind.DELTA, List.of(shown));
+            if (!disabling) {
+                forwarder.endpointReenabled(shown.id());
             }
         }
     }
@@ -514,67 +529,67 @@
         long requestId = ++lastRequest;
         int index = random.nextInt(settings.classes().size());
         RequestClass kind = settings.classes().get(index);
-        long wait = 50 * MS + random.nextLong(950 * MS);
+        long clientPatience = 50 * MS + random.nextLong(950 * MS);
         boolean uploads = random.nextInt(12) == 0;
-        long toDriver = wait + (fault == Fault.ANSWERS_LATE ? 400 * MS : 0);
+        long forwarderPatience = clientPatience + (fault == Fault.ANSWERS_LATE ? 400 * MS : 0);
         long work = random.nextBoolean() ? 0 : 20 * MS;
-        model.taken(now, requestId, kind);
+        model.accepted(now, requestId, kind);
         var request =
                 new Request(
                         requestId,
                         index,
                         0,
-                        now + toDriver + (uploads ? 60_000 * MS : 0),
+                        now + forwarderPatience + (uploads ? 60_000 * MS : 0),
                         0,
                         false,
                         kind.idempotency() != Idempotency.SAFE,
                         work,
                         uploads);
         Exchange<String, String> exchange =
-                new Exchange<>(request, "q" + requestId, new Answers(requestId));
+                new Exchange<>(request, "q" + requestId, new RecordingReply(requestId));
         if (uploads) {
-            uploading.put(requestId, exchange.withUpload(toDriver));
-            at(now + random.nextLong(150 * MS), () -> whole(requestId, wait));
+            uploading.put(requestId, exchange.withUpload(forwarderPatience));
+            at(now + random.nextLong(150 * MS), () -> completeUpload(requestId, clientPatience));
         } else {
-            model.whole(now, requestId, now + wait);
+            model.uploadCompleted(now, requestId, now + clientPatience);
         }
-        driver.accept(exchange);
+        forwarder.accept(exchange);
         if (random.nextInt(20) == 0) {
-            at(now + random.nextLong(200 * MS), () -> leave(requestId, exchange));
+            at(now + random.nextLong(200 * MS), () -> clientLeaves(requestId, exchange));
         }
     }
 
-    private void whole(long requestId, long wait) {
+    private void completeUpload(long requestId, long clientPatience) {
         Exchange<String, String> exchange = uploading.remove(requestId);
         if (exchange != null) {
-            model.whole(now, requestId, now + wait);
-            driver.uploadComplete(exchange);
+            model.uploadCompleted(now, requestId, now + clientPatience);
+            forwarder.uploadComplete(exchange);
         }
     }
 
-    /** The client has gone; the driver hears of it at once, or some time later. */
-    private void leave(long requestId, Exchange<String, String> exchange) {
+    /** The client leaves; the forwarder is notified at once or some time later. */
+    private void clientLeaves(long requestId, Exchange<String, String> exchange) {
         uploading.remove(requestId);
-        gone.add(requestId);
-        model.left(now, requestId);
+        departedClients.add(requestId);
+        model.clientLeft(now, requestId);
         if (random.nextBoolean()) {
-            driver.clientLeft(exchange);
+            forwarder.clientLeft(exchange);
         } else {
-            at(now + random.nextLong(100 * MS), () -> driver.clientLeft(exchange));
+            at(now + random.nextLong(100 * MS), () -> forwarder.clientLeft(exchange));
         }
     }
 
-    private final class Answers implements Exchange.Reply<String> {
+    private final class RecordingReply implements Exchange.Reply<String> {
         private final long requestId;
 
-        Answers(long requestId) {
+        RecordingReply(long requestId) {
             this.requestId = requestId;
         }
 
-        private void got(RulesModel.Answer how, int by) {
+        private void recordAnswer(RulesModel.Answer how, int by) {
             uploading.remove(requestId);
-            if (gone.contains(requestId)) {
-                return; // nobody hears it
+            if (departedClients.contains(requestId)) {
+                return; // the client has left
             }
             if (fault == Fault.FORGETS_TO_ANSWER && requestId % 50 == 0) {
                 return;
@@ -596,26 +611,26 @@
         public void served(String answer) {
             served++;
             int by = Integer.parseInt(answer);
-            got(RulesModel.Answer.SERVED, fault == Fault.MAKES_UP_AN_ANSWER ? by + 1 : by);
+            recordAnswer(RulesModel.Answer.SERVED, fault == Fault.MAKES_UP_AN_ANSWER ? by + 1 : by);
         }
 
         @Override
         public void rejected(long retryAfter) {
-            got(RulesModel.Answer.REFUSED, -1);
+            recordAnswer(RulesModel.Answer.REFUSED, -1);
         }
 
         @Override
         public void failed() {
-            got(RulesModel.Answer.FAILED, -1);
+            recordAnswer(RulesModel.Answer.FAILED, -1);
         }
 
         @Override
         public boolean isClientWaiting() {
-            return !gone.contains(requestId);
+            return !departedClients.contains(requestId);
         }
     }
 
-    // ---- the sides round the driver ----
+    // ---- clock, discovery and transport of the forwarder ----
 
     private final class Clock implements TimerService {
         @Override
@@ -635,7 +650,7 @@
         @Override
         public void watch(boolean on) {
             if (random.nextBoolean()) {
-                at(now + 100 * MS, () -> driver.endpointsUnavailable());
+                at(now + 100 * MS, () -> forwarder.endpointsUnavailable());
             }
         }
 
@@ -644,30 +659,30 @@
     }
 
     /**
-     * Endpoints, whose outcomes come late, twice, in another order, and of what was given up; and
-     * connections to them, of which some come up late.
+     * Simulates the endpoints and the connections to them. Outcomes arrive late, twice, out of
+     * order, and for abandoned attempts; some connections open late.
      */
     private final class Client implements AttemptTransport<String, String> {
-        private final Map<RequestAttempt<String, String>, Boolean> told = new HashMap<>();
+        private final Map<RequestAttempt<String, String>, Boolean> endRecorded = new HashMap<>();
         private final Set<RequestAttempt<String, String>> written = new HashSet<>();
 
         @Override
         public boolean knowsEndpoint(long endpoint) {
-            return known.containsKey(endpoint) || endpoint == STRANGER;
+            return listedNames.containsKey(endpoint) || endpoint == UNLISTED_ENDPOINT;
         }
 
         @Override
         public void startAttempt(RequestAttempt<String, String> attempt) {
-            String node = known.getOrDefault(attempt.endpoint(), "stranger");
+            String node = listedNames.getOrDefault(attempt.endpoint(), "stranger");
             if (random.nextInt(8) > 0) {
-                go(attempt, node);
+                startOnConnection(attempt, node);
             } else {
-                at(now + random.nextLong(1500 * MS), () -> go(attempt, node));
+                at(now + random.nextLong(1500 * MS), () -> startOnConnection(attempt, node));
             }
         }
 
-        private void go(RequestAttempt<String, String> attempt, String node) {
-            if (!driver.mayStart(attempt) && fault != Fault.BEGINS_FOR_NOBODY) {
+        private void startOnConnection(RequestAttempt<String, String> attempt, String node) {
+            if (!forwarder.mayStart(attempt) && fault != Fault.BEGINS_FOR_NOBODY) {
                 return;
             }
             long request = attempt.exchange().request().id();
@@ -687,52 +702,54 @@
                                             ? Outcome.CONNECT_FAILED
                                             : draw < 8 ? Outcome.RESET : Outcome.OK;
             Outcome outcome = half ? Outcome.CONNECT_FAILED : how;
-            long lasts =
+            long duration =
                     random.nextInt(10) == 0
                             ? random.nextLong(1500 * MS)
                             : random.nextLong(150 * MS);
             if (draw == 4) {
-                report(attempt, outcome); // known at once
+                reportEnd(attempt, outcome); // the outcome is known at once
             } else if (draw == 19 && !half) {
-                at(now + lasts, () -> begin(attempt));
-            } else if (draw != 18) { // else it never answers
-                at(now + lasts, () -> report(attempt, outcome));
+                at(now + duration, () -> startResponse(attempt));
+            } else if (draw != 18) { // otherwise the endpoint never answers
+                at(now + duration, () -> reportEnd(attempt, outcome));
             }
             if (random.nextInt(10) == 0 && draw != 19) {
-                at(now + 2 * lasts, () -> report(attempt, Outcome.values()[random.nextInt(4)]));
+                at(
+                        now + 2 * duration,
+                        () -> reportEnd(attempt, Outcome.values()[random.nextInt(4)]));
             }
         }
 
-        private void begin(RequestAttempt<String, String> attempt) {
-            if (told.putIfAbsent(attempt, true) == null) {
+        private void startResponse(RequestAttempt<String, String> attempt) {
+            if (endRecorded.putIfAbsent(attempt, true) == null) {
                 model.ended(now, attempt.exchange().request().id(), attempt.number(), Outcome.OK);
-                driver.responseStarted(attempt, String.valueOf(attempt.number()), null);
+                forwarder.responseStarted(attempt, String.valueOf(attempt.number()), null);
                 Outcome end = random.nextBoolean() ? Outcome.OK : Outcome.RESET;
-                at(now + random.nextLong(500 * MS), () -> pass(attempt, end));
+                at(now + random.nextLong(500 * MS), () -> forwardEnd(attempt, end));
             }
         }
 
-        private void report(RequestAttempt<String, String> attempt, Outcome outcome) {
-            if (told.putIfAbsent(attempt, true) == null) {
+        private void reportEnd(RequestAttempt<String, String> attempt, Outcome outcome) {
+            if (endRecorded.putIfAbsent(attempt, true) == null) {
                 model.ended(now, attempt.exchange().request().id(), attempt.number(), outcome);
             }
-            pass(attempt, outcome);
+            forwardEnd(attempt, outcome);
         }
 
-        private void pass(RequestAttempt<String, String> attempt, Outcome outcome) {
+        private void forwardEnd(RequestAttempt<String, String> attempt, Outcome outcome) {
             if (outcome == Outcome.OK) {
-                driver.served(
+                forwarder.served(
                         attempt,
                         String.valueOf(attempt.number()),
                         Site.load(random.nextInt(5), 20));
             } else {
-                driver.attemptEnded(attempt, outcome, null);
+                forwarder.attemptEnded(attempt, outcome, null);
             }
         }
 
         @Override
         public void abandonAttempt(RequestAttempt<String, String> attempt) {
-            if (told.putIfAbsent(attempt, true) == null) {
+            if (endRecorded.putIfAbsent(attempt, true) == null) {
                 model.ended(
                         now,
                         attempt.exchange().request().id(),
@@ -743,24 +760,28 @@
 
         @Override
         public void sendProbe(long endpoint) {
-            long lasts = random.nextLong(60 * MS);
+            long duration = random.nextLong(60 * MS);
             Outcome outcome = random.nextInt(6) == 0 ? Outcome.TIMEOUT : Outcome.OK;
-            // An endpoint that has just started reads empty and quick.
-            boolean fresh =
+            // An endpoint that has just started reports itself empty and fast.
+            boolean recentlyStarted =
                     nodes.values().stream().anyMatch(n -> n.id() == endpoint && !settled(n));
             LoadBalancer.LoadReport load =
                     Site.load(
-                            fresh ? 0 : 2 + random.nextInt(3), fresh ? 1 : 20 + random.nextInt(50));
+                            recentlyStarted ? 0 : 2 + random.nextInt(3),
+                            recentlyStarted ? 1 : 20 + random.nextInt(50));
             at(
-                    now + lasts,
+                    now + duration,
                     () ->
-                            driver.probeEnded(
-                                    endpoint, outcome, lasts, outcome == Outcome.OK ? load : null));
+                            forwarder.probeEnded(
+                                    endpoint,
+                                    outcome,
+                                    duration,
+                                    outcome == Outcome.OK ? load : null));
             if (random.nextInt(8) == 0) {
-                long again = lasts + random.nextLong(300 * MS);
+                long again = duration + random.nextLong(300 * MS);
                 at(
                         now + again,
-                        () -> driver.probeEnded(endpoint, Outcome.OK, again, Site.load(9, 900)));
+                        () -> forwarder.probeEnded(endpoint, Outcome.OK, again, Site.load(9, 900)));
             }
         }
 
--- a/core/src/test/java/cedarrudder/balancer/Site.java
+++ b/core/src/test/java/cedarrudder/balancer/Site.java
@@ -14,7 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Settings and values for the tests, with the parts that a test cares about changed by hand. */
+/** Settings and values for the tests; a test changes the fields that matter to it. */
 final class Site {
     static final long MS = 1_000_000L;
     static final long SECOND = 1000 * MS;
@@ -29,10 +29,10 @@
     int self;
     int tier;
     int tiers = 1;
-    boolean ask;
+    boolean pollsEndpoints;
     boolean probes = true;
     boolean cancel = true;
-    boolean parallelTries = true;
+    boolean hedging = true;
     int maxAttempts = 4;
     long drainGrace = SECOND;
     List<RequestClass> classes = List.of(SAFE, KEYED, UNSAFE);
@@ -50,18 +50,11 @@
                 0,
                 tier,
                 tiers,
-                ask,
+                pollsEndpoints,
                 classes,
                 tenants,
                 new Limits(
-                        probes,
-                        cancel,
-                        parallelTries,
-                        true,
-                        maxAttempts,
-                        SECOND,
-                        50 * MS,
-                        30 * SECOND),
+                        probes, cancel, hedging, true, maxAttempts, SECOND, 50 * MS, 30 * SECOND),
                 new SafetyRules(drainGrace, 0.25, 10 * SECOND, 4, SECOND, 10 * SECOND),
                 new ServiceGoal(0.8, 0.1, 0.1, 0, 0.1),
                 new ServicePrices(0.01, 0));
--- a/core/src/test/java/cedarrudder/balancer/Steps.java
+++ b/core/src/test/java/cedarrudder/balancer/Steps.java
@@ -16,23 +16,23 @@
 import java.util.zip.CRC32C;
 
 /**
- * Random steps of all kinds for one replica among thirty endpoints in three zones, drawn from a
- * seed.
+ * Applies random events of all kinds, drawn from a seed, to one replica with thirty endpoints in
+ * three zones.
  */
 final class Steps {
 
     private static final long MS = Site.MS;
     private static final int ENDPOINTS = 30;
 
-    private record Out(long request, int attempt, long endpoint, long at) {}
+    private record InFlight(long request, int attempt, long endpoint, long at) {}
 
-    final Recorder did = new Recorder();
-    final PrequalBalancer decide;
+    final Recorder recorder = new Recorder();
+    final PrequalBalancer balancer;
     long now = 50 * Site.SECOND;
     private final SplittableRandom random;
     private final Site site = new Site();
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final List<Out> outs = new ArrayList<>();
+    private final List<InFlight> inFlight = new ArrayList<>();
     private final List<Recorder.Timer> timers = new ArrayList<>();
     private final CRC32C digest = new CRC32C();
     private final List<Endpoint> list = new ArrayList<>();
@@ -48,31 +48,31 @@
         site.self = random.nextInt(site.replicas);
         site.tiers = 2;
         site.tier = random.nextInt(2);
-        site.ask = random.nextBoolean();
-        site.parallelTries = random.nextBoolean();
-        decide = new PrequalBalancer(site.settings(), random.split(), did);
+        site.pollsEndpoints = random.nextBoolean();
+        site.hedging = random.nextBoolean();
+        balancer = new PrequalBalancer(site.settings(), random.split(), recorder);
         for (int id = 1; id <= ENDPOINTS; id++) {
             list.add(Site.endpoint(id, id % 3, id % 5, EndpointStatus.READY, 0));
         }
-        decide.onEndpoints(now, EndpointListKind.CACHED, list);
-        take();
+        balancer.onEndpoints(now, EndpointListKind.CACHED, list);
+        collectActions();
     }
 
-    /** Plays this many steps. */
-    void play(int steps) {
+    /** Runs the given number of steps. */
+    void run(int steps) {
         for (int i = 0; i < steps; i++) {
             now += random.nextLong(8 * MS);
             for (Recorder.Timer timer : timers.stream().filter(t -> t.at() <= now).toList()) {
                 timers.remove(timer);
-                decide.onTimer(now, timer.token());
-                take();
+                balancer.onTimer(now, timer.token());
+                collectActions();
             }
             step(random.nextInt(100));
-            take();
+            collectActions();
         }
     }
 
-    /** Of all that was done so far, with its arguments and in its order. */
+    /** Returns a digest of all actions so far, with their arguments and in their order. */
     long digest() {
         return digest.getValue();
     }
@@ -93,33 +93,33 @@
                             false,
                             work,
                             random.nextInt(20) == 0);
-            decide.onRequest(
+            balancer.onRequest(
                     now,
                     request,
                     random.nextInt(50) == 0 ? AdmissionHint.OVERLOADED : AdmissionHint.ADMIT);
-        } else if (draw < 82 && !outs.isEmpty()) {
-            Out out = outs.remove(random.nextInt(outs.size()));
+        } else if (draw < 82 && !inFlight.isEmpty()) {
+            InFlight ended = inFlight.remove(random.nextInt(inFlight.size()));
             int how = random.nextInt(3 * Outcome.values().length);
             Outcome outcome = how < Outcome.values().length ? Outcome.values()[how] : Outcome.OK;
-            decide.onAttemptEnded(
+            balancer.onAttemptEnded(
                     now,
-                    out.request,
-                    out.attempt,
-                    out.endpoint,
+                    ended.request,
+                    ended.attempt,
+                    ended.endpoint,
                     outcome,
-                    now - out.at,
+                    now - ended.at,
                     outcome == Outcome.OK,
                     null);
         } else if (draw < 88 && !probes.isEmpty()) {
-            boolean good = random.nextInt(8) > 0;
-            decide.onProbeEnded(
+            boolean healthy = random.nextInt(8) > 0;
+            balancer.onProbeEnded(
                     now,
                     probes.remove(random.nextInt(probes.size())),
-                    good ? Outcome.OK : Outcome.TIMEOUT,
+                    healthy ? Outcome.OK : Outcome.TIMEOUT,
                     random.nextLong(5 * MS),
-                    good ? Site.load(random.nextInt(9), 1 + random.nextInt(40)) : null);
+                    healthy ? Site.load(random.nextInt(9), 1 + random.nextInt(40)) : null);
         } else if (draw < 93) {
-            Endpoint was = list.get((int) id - 1);
+            Endpoint former = list.get((int) id - 1);
             EndpointStatus state =
                     random.nextInt(3) > 0
                             ? EndpointStatus.READY
@@ -130,41 +130,42 @@
                     (int) id - 1,
                     Site.endpoint(
                             id,
-                            was.zone(),
+                            former.zone(),
                             random.nextInt(5),
                             state,
-                            was.status() == EndpointStatus.REMOVED ? now : was.startedAt()));
-            decide.onEndpoints(now, EndpointListKind.DELTA, List.of(list.get((int) id - 1)));
+                            former.status() == EndpointStatus.REMOVED ? now : former.startedAt()));
+            balancer.onEndpoints(now, EndpointListKind.DELTA, List.of(list.get((int) id - 1)));
         } else {
-            rare(draw, id, requests == 0 ? 1 : 1 + random.nextLong(requests));
+            rareStep(draw, id, requests == 0 ? 1 : 1 + random.nextLong(requests));
         }
     }
 
-    private void rare(int draw, long endpoint, long request) {
+    private void rareStep(int draw, long endpoint, long request) {
         switch (draw) {
-            case 93 -> decide.onEndpoints(now, EndpointListKind.FULL, list);
-            case 94 -> decide.onEndpointsUnavailable(now);
-            case 95 -> decide.onClientLeft(now, request);
-            case 96 -> decide.onUploadComplete(now, request);
-            case 97 -> decide.onEndpointReenabled(now, endpoint);
-            case 98 -> decide.onResponseAborted(now, endpoint, now - 100 * MS);
-            default -> decide.onLiveReplicas(now, 1 + random.nextInt(site.replicas));
+            case 93 -> balancer.onEndpoints(now, EndpointListKind.FULL, list);
+            case 94 -> balancer.onEndpointsUnavailable(now);
+            case 95 -> balancer.onClientLeft(now, request);
+            case 96 -> balancer.onUploadComplete(now, request);
+            case 97 -> balancer.onEndpointReenabled(now, endpoint);
+            case 98 -> balancer.onResponseAborted(now, endpoint, now - 100 * MS);
+            default -> balancer.onLiveReplicas(now, 1 + random.nextInt(site.replicas));
         }
     }
 
-    /** Takes in what was done. */
-    private void take() {
-        did.sent.forEach(
+    /** Collects the actions of the last step. */
+    private void collectActions() {
+        recorder.sent.forEach(
                 sent ->
-                        outs.add(
-                                new Out(
+                        inFlight.add(
+                                new InFlight(
                                         sent.request(),
                                         attempts.merge(sent.request(), 1, Integer::sum) - 1,
                                         sent.endpoint(),
                                         now)));
-        probes.addAll(did.probed);
-        timers.addAll(did.timers);
-        did.lines.forEach(line -> digest.update((line + "\n").getBytes(StandardCharsets.UTF_8)));
-        did.clear();
+        probes.addAll(recorder.probed);
+        timers.addAll(recorder.timers);
+        recorder.lines.forEach(
+                line -> digest.update((line + "\n").getBytes(StandardCharsets.UTF_8)));
+        recorder.clear();
     }
 }
--- a/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
@@ -20,17 +20,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Calls keep to the zones that have shares. The replica is in zone 0; endpoint 10 z + i is in zone
- * z.
+ * Requests are sent only to the zones that have traffic shares. The replica is in zone 0; endpoint
+ * 10 z + i is in zone z.
  */
 public class ZoneTrafficShareTest {
 
     private static final long MS = Site.MS;
     private static final long SECOND = Site.SECOND;
     private static final int ZONES = 3;
-    private static final int EACH = 8;
+    private static final int ENDPOINTS_PER_ZONE = 8;
 
-    private static final RequestClass WORTHY =
+    private static final RequestClass HIGH_PRIORITY =
             new RequestClass(
                     "worthy",
                     Site.SAFE.idempotency(),
@@ -43,51 +43,52 @@
                     false);
 
     private final Site site = new Site();
-    private Recorder did;
-    private PrequalBalancer decide;
+    private Recorder recorder;
+    private PrequalBalancer balancer;
     private long now;
-    private long last;
+    private long lastRequest;
 
     @BeforeMethod
-    public void begin() {
-        site.classes = List.of(Site.SAFE, WORTHY, Site.KEYED_IN_ZONE);
+    public void setUp() {
+        site.classes = List.of(Site.SAFE, HIGH_PRIORITY, Site.KEYED_IN_ZONE);
         site.maxAttempts = 4;
-        did = new Recorder();
+        recorder = new Recorder();
         now = 100 * SECOND;
-        last = 0;
-        decide = new PrequalBalancer(site.settings(), new SplittableRandom(7), did);
+        lastRequest = 0;
+        balancer = new PrequalBalancer(site.settings(), new SplittableRandom(7), recorder);
         List<Endpoint> all = new ArrayList<>();
         for (int zone = 0; zone < ZONES; zone++) {
             all.addAll(zone(zone, EndpointStatus.READY));
         }
-        decide.onEndpoints(now, EndpointListKind.CACHED, all);
+        balancer.onEndpoints(now, EndpointListKind.CACHED, all);
     }
 
     private static List<Endpoint> zone(int zone, EndpointStatus state) {
         List<Endpoint> all = new ArrayList<>();
-        for (int i = 0; i < EACH; i++) {
+        for (int i = 0; i < ENDPOINTS_PER_ZONE; i++) {
             all.add(Site.endpoint(10 * zone + i, zone, 0, state, 0));
         }
         return all;
     }
 
-    private void shares(ZoneTrafficShare... shares) {
-        decide.onZoneShares(now, List.of(shares));
+    private void setShares(ZoneTrafficShare... setShares) {
+        balancer.onZoneShares(now, List.of(setShares));
     }
 
     private static ZoneTrafficShare share(int zone, int parts) {
         return new ZoneTrafficShare(zone, parts, 0);
     }
 
-    private long ask(int kind) {
-        decide.onRequest(now, new Request(++last, kind, 0, now + SECOND, 0, false, false, 0));
-        return last;
+    private long sendRequest(int classIndex) {
+        balancer.onRequest(
+                now, new Request(++lastRequest, classIndex, 0, now + SECOND, 0, false, false, 0));
+        return lastRequest;
     }
 
-    /** Ends the last attempt of a request. */
-    private void end(long id, Outcome outcome) {
-        List<Recorder.Sent> sent = did.sent.stream().filter(s -> s.request() == id).toList();
-        decide.onAttemptEnded(
+    /** Ends the last attempt of a request with an outcome. */
+    private void endAttempt(long id, Outcome outcome) {
+        List<Recorder.Sent> sent = recorder.sent.stream().filter(s -> s.request() == id).toList();
+        balancer.onAttemptEnded(
                 now,
                 id,
                 sent.size() - 1,
@@ -98,345 +99,365 @@
                 null);
     }
 
-    /** Answers the probes that are out, those of some endpoints with a report. */
-    private void answerProbes(LongPredicate sound) {
-        List<Long> out = List.copyOf(did.probed);
-        did.probed.clear();
+    /**
+     * Answers the outstanding probes: those of healthy endpoints with a load report, the others
+     * with a timeout.
+     */
+    private void answerProbes(LongPredicate isHealthy) {
+        List<Long> out = List.copyOf(recorder.probed);
+        recorder.probed.clear();
         for (long endpoint : out) {
-            boolean good = sound.test(endpoint);
-            decide.onProbeEnded(
+            boolean healthy = isHealthy.test(endpoint);
+            balancer.onProbeEnded(
                     now,
                     endpoint,
-                    good ? Outcome.OK : Outcome.TIMEOUT,
+                    healthy ? Outcome.OK : Outcome.TIMEOUT,
                     0,
-                    good ? Site.load(1, 5) : null);
+                    healthy ? Site.load(1, 5) : null);
         }
     }
 
-    /** This many calls, one in so long, each served at once; how many went to each zone. */
-    private int[] serve(int calls, long every) {
+    /**
+     * Sends requests at an interval, each served at once; returns how many were sent to each zone.
+     */
+    private int[] serveRequests(int requests, long interval) {
         int[] zones = new int[ZONES];
-        for (int i = 0; i < calls; i++) {
-            now += every;
-            did.sent.clear();
-            long id = ask(0);
+        for (int i = 0; i < requests; i++) {
+            now += interval;
+            recorder.sent.clear();
+            long id = sendRequest(0);
             answerProbes(endpoint -> true);
-            if (!did.sent.isEmpty()) {
+            if (!recorder.sent.isEmpty()) {
                 zones[zoneOf(0)]++;
-                end(id, Outcome.OK);
+                endAttempt(id, Outcome.OK);
             }
         }
         return zones;
     }
 
     private int zoneOf(int sent) {
-        return (int) did.sent.get(sent).endpoint() / 10;
+        return (int) recorder.sent.get(sent).endpoint() / 10;
     }
 
     // ---- without shares ----
 
     /**
-     * Detects shares that cost a replica without a table anything: all that it does, with every
-     * argument, is what the build before them did. The figures are that build's. Whoever changes
-     * decisions on purpose puts his own here, and says so.
+     * Without zone shares, a replica must do exactly what it did before there were any: all
+     * actions, with every argument, are compared by digest. The digests are those of the build
+     * before zone shares. Whoever changes decisions on purpose updates them here and states so.
      */
     @Test
-    public void withoutSharesEachActionIsThatOfTheBuildBefore() {
-        long[] before = {3871831610L, 4052922298L, 2420951006L, 1174658731L};
-        for (int seed = 1; seed <= before.length; seed++) {
+    public void withoutSharesActionsMatchRecordedDigests() {
+        long[] expectedDigests = {3871831610L, 4052922298L, 2420951006L, 1174658731L};
+        for (int seed = 1; seed <= expectedDigests.length; seed++) {
             Steps steps = new Steps(seed);
-            steps.play(5_000);
-            assertEquals(steps.digest(), before[seed - 1], "seed " + seed);
+            steps.run(5_000);
+            assertEquals(steps.digest(), expectedDigests[seed - 1], "seed " + seed);
         }
     }
 
-    /** Detects an empty list that draws from the random source, or unsettles the roster. */
+    /**
+     * An empty share list must neither draw from the random source nor change the endpoint subset.
+     */
     @Test
-    public void anEmptyListChangesNothing() {
+    public void emptyShareListChangesNothing() {
         for (int seed = 1; seed <= 3; seed++) {
-            Steps untold = new Steps(seed);
-            Steps told = new Steps(seed);
+            Steps withoutList = new Steps(seed);
+            Steps withEmptyList = new Steps(seed);
             for (int i = 0; i < 100; i++) {
-                told.decide.onZoneShares(told.now, List.of());
-                untold.play(30);
-                told.play(30);
-                assertEquals(told.digest(), untold.digest(), "seed " + seed + ", step " + 30 * i);
+                withEmptyList.balancer.onZoneShares(withEmptyList.now, List.of());
+                withoutList.run(30);
+                withEmptyList.run(30);
+                assertEquals(
+                        withEmptyList.digest(),
+                        withoutList.digest(),
+                        "seed " + seed + ", step " + 30 * i);
             }
         }
     }
 
     @Test
-    public void afterAnEmptyListCallsAreAtHomeAgain() {
-        shares(share(2, 10_000));
-        assertEquals(serve(200, 10 * MS), new int[] {0, 0, 200});
-        shares();
-        int[] zones = serve(200, 10 * MS);
+    public void requestsReturnToOwnZoneAfterEmptyShareList() {
+        setShares(share(2, 10_000));
+        assertEquals(serveRequests(200, 10 * MS), new int[] {0, 0, 200});
+        setShares();
+        int[] zones = serveRequests(200, 10 * MS);
         assertTrue(zones[0] > 100 && zones[2] < 60, Arrays.toString(zones));
     }
 
-    // ---- parts ----
+    // ---- fractions ----
 
     @Test
-    public void eachZoneGetsItsParts() {
-        shares(share(0, 9_900), share(1, 100));
+    public void eachZoneReceivesItsFraction() {
+        setShares(share(0, 9_900), share(1, 100));
         for (int window = 0; window < 10; window++) {
-            int[] zones = serve(1_000, 2 * MS);
+            int[] zones = serveRequests(1_000, 2 * MS);
             assertEquals(zones[1], 10, 2, "window " + window);
             assertEquals(zones[0] + zones[1], 1_000);
         }
-        shares(share(0, 2_500), share(1, 2_500), share(2, 5_000));
-        int[] zones = serve(1_000, 2 * MS);
+        setShares(share(0, 2_500), share(1, 2_500), share(2, 5_000));
+        int[] zones = serveRequests(1_000, 2 * MS);
         assertEquals(zones[0], 250, 3);
         assertEquals(zones[1], 250, 3);
     }
 
-    /** Detects probes, connections and entries of the pool that stay where nothing may be sent. */
+    /** Probes, connections and pool entries must not stay where nothing may be sent. */
     @Test
-    public void probesAndConnectionsMoveAtOnce() {
-        serve(300, 5 * MS);
-        did.lines.clear();
-        shares(share(1, 10_000));
-        int before = 0;
+    public void probesAndConnectionsFollowSharesAtOnce() {
+        serveRequests(300, 5 * MS);
+        recorder.lines.clear();
+        setShares(share(1, 10_000));
+        int sentElsewhere = 0;
         for (int i = 0; i < 300; i++) {
             now += 5 * MS;
-            long id = ask(0);
-            before += zoneOf(did.sent.size() - 1) == 1 ? 0 : 1;
-            end(id, Outcome.OK);
-            assertTrue(did.probed.stream().allMatch(e -> e / 10 == 1), did.probed.toString());
+            long id = sendRequest(0);
+            sentElsewhere += zoneOf(recorder.sent.size() - 1) == 1 ? 0 : 1;
+            endAttempt(id, Outcome.OK);
+            assertTrue(
+                    recorder.probed.stream().allMatch(e -> e / 10 == 1),
+                    recorder.probed.toString());
             answerProbes(endpoint -> true);
         }
-        assertEquals(before, 0);
+        assertEquals(sentElsewhere, 0);
         assertTrue(
-                did.lines.stream().filter(line -> line.matches("close \\d")).count() >= 6,
-                did.lines.toString());
+                recorder.lines.stream().filter(line -> line.matches("close \\d")).count() >= 6,
+                recorder.lines.toString());
     }
 
     @Test
-    public void theLeastWorthyOfWhatFitsNowhereAreRefusedAtOnce() {
-        shares(share(0, 7_000));
-        int[] refused = new int[2];
-        end(ask(2), Outcome.OK); // what was never served counts as worth most
+    public void lowestPriorityIsRejectedAtOnceWhenSharesAreUsedUp() {
+        setShares(share(0, 7_000));
+        int[] rejected = new int[2];
+        endAttempt(
+                sendRequest(2),
+                Outcome.OK); // a class that was never served has the highest priority
         for (int i = 0; i < 2_000; i++) {
             now += 5 * MS;
-            did.refused.clear();
-            long id = ask(i % 2);
-            refused[i % 2] += did.refused.size();
-            if (did.refused.isEmpty()) {
-                end(id, Outcome.OK);
+            recorder.rejected.clear();
+            long id = sendRequest(i % 2);
+            rejected[i % 2] += recorder.rejected.size();
+            if (recorder.rejected.isEmpty()) {
+                endAttempt(id, Outcome.OK);
             }
         }
-        assertEquals(refused[1], 0);
-        assertEquals(refused[0], 600, 20);
+        assertEquals(rejected[1], 0);
+        assertEquals(rejected[0], 600, 20);
     }
 
-    // ---- zones that can't serve ----
+    // ---- unavailable zones ----
 
     @Test
-    public void theOwnZoneStandsInForOneThatDrainsThenTheOthers() {
-        shares(share(1, 5_000), share(2, 4_000), share(0, 1_000));
-        decide.onEndpoints(now, EndpointListKind.DELTA, zone(1, EndpointStatus.DRAINING));
-        int[] zones = serve(500, 5 * MS);
+    public void ownZoneThenOthersReplaceDrainingZone() {
+        setShares(share(1, 5_000), share(2, 4_000), share(0, 1_000));
+        balancer.onEndpoints(now, EndpointListKind.DELTA, zone(1, EndpointStatus.DRAINING));
+        int[] zones = serveRequests(500, 5 * MS);
         assertEquals(zones[0], 300, 5, Arrays.toString(zones));
         assertEquals(zones[2], 200, 5, Arrays.toString(zones));
-        decide.onEndpoints(now, EndpointListKind.DELTA, zone(0, EndpointStatus.REMOVED));
-        assertEquals(serve(100, 5 * MS), new int[] {0, 0, 100});
+        balancer.onEndpoints(now, EndpointListKind.DELTA, zone(0, EndpointStatus.REMOVED));
+        assertEquals(serveRequests(100, 5 * MS), new int[] {0, 0, 100});
     }
 
     @Test
-    public void whereNoZoneOfTheTableHasANodeItIsAsWithoutOne() {
-        shares(share(9, 10_000));
-        int[] zones = serve(300, 5 * MS);
+    public void sharesOfZonesWithoutEndpointsAreIgnored() {
+        setShares(share(9, 10_000));
+        int[] zones = serveRequests(300, 5 * MS);
         assertEquals(zones[0] + zones[1] + zones[2], 300);
         assertTrue(zones[0] > 60 && zones[1] > 60, Arrays.toString(zones));
-        assertTrue(did.lines.stream().filter(line -> line.startsWith("probe")).count() > 20);
-        decide.onEndpoints(
+        assertTrue(recorder.lines.stream().filter(line -> line.startsWith("probe")).count() > 20);
+        balancer.onEndpoints(
                 now,
                 EndpointListKind.DELTA,
                 List.of(Site.endpoint(90, 9, 0, EndpointStatus.READY, 0)));
-        long id = ask(0);
-        assertEquals(did.sent.get(did.sent.size() - 1), new Recorder.Sent(id, 90));
+        long id = sendRequest(0);
+        assertEquals(recorder.sent.get(recorder.sent.size() - 1), new Recorder.Sent(id, 90));
     }
 
-    /**
-     * Detects overload of one zone that pulls down the next: its endpoints are full, and not
-     * unsound.
-     */
+    /** Overload of one zone must not spread to the next: its endpoints are full, but healthy. */
     @Test
-    public void aZoneThatIsFullSendsNothingToOthers() {
-        shares(share(1, 10_000));
+    public void fullZoneDoesNotOverflowIntoOthers() {
+        setShares(share(1, 10_000));
         for (int i = 0; i < 100; i++) {
-            decide.onRequest(
-                    now, new Request(++last, 0, 0, now + SECOND, 0, false, false, 20 * MS));
+            balancer.onRequest(
+                    now, new Request(++lastRequest, 0, 0, now + SECOND, 0, false, false, 20 * MS));
         }
-        assertEquals(did.sent.size(), EACH * 4, "each holds four");
-        assertTrue(did.sent.stream().allMatch(s -> s.endpoint() / 10 == 1));
+        assertEquals(
+                recorder.sent.size(), ENDPOINTS_PER_ZONE * 4, "each serves at most four at once");
+        assertTrue(recorder.sent.stream().allMatch(s -> s.endpoint() / 10 == 1));
         now += 100 * MS;
-        List.copyOf(did.timers).forEach(timer -> decide.onTimer(now, timer.token()));
-        assertEquals(did.refused.size(), 100 - EACH * 4);
+        List.copyOf(recorder.timers).forEach(timer -> balancer.onTimer(now, timer.token()));
+        assertEquals(recorder.rejected.size(), 100 - ENDPOINTS_PER_ZONE * 4);
     }
 
-    /** Detects a table that holds calls in a zone which is dead, as this replica can see. */
+    /** Shares must not keep requests in a zone that this replica itself finds unreachable. */
     @Test
-    public void aDeadZoneIsLeftBeforeTheTableSaysSo() {
-        shares(share(1, 10_000));
+    public void unreachableZoneIsAvoidedBeforeSharesChange() {
+        setShares(share(1, 10_000));
         int lost = 0;
         for (int i = 0; i < 100; i++) {
             now += 5 * MS;
             answerProbes(endpoint -> endpoint / 10 != 1);
-            long id = ask(0);
+            long id = sendRequest(0);
             for (int tries = 0;
-                    zoneOf(did.sent.size() - 1) == 1 && did.refused.isEmpty();
+                    zoneOf(recorder.sent.size() - 1) == 1 && recorder.rejected.isEmpty();
                     tries++) {
                 assertTrue(tries < 4);
-                end(id, Outcome.CONNECT_FAILED);
+                endAttempt(id, Outcome.CONNECT_FAILED);
             }
-            lost += did.refused.size();
-            if (did.refused.isEmpty()) {
-                end(id, Outcome.OK);
+            lost += recorder.rejected.size();
+            if (recorder.rejected.isEmpty()) {
+                endAttempt(id, Outcome.OK);
             }
-            did.refused.clear();
+            recorder.rejected.clear();
         }
-        assertTrue(lost <= 3, "lost " + lost);
+        assertTrue(lost <= 3, "rejected requests: " + lost);
     }
 
     /**
-     * The same where nothing comes back at all: probes tell it, before calls do by their deadline.
+     * The same where no response arrives at all: probes reveal it before requests reach their
+     * deadlines.
      */
     @Test
-    public void aSilentZoneIsLeftOnceProbesFail() {
-        shares(share(1, 10_000));
-        List<Long> inside = new ArrayList<>();
+    public void unresponsiveZoneIsAvoidedOnceProbesFail() {
+        setShares(share(1, 10_000));
+        List<Long> sentToZone = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             now += 5 * MS;
-            long id = ask(0);
-            if (zoneOf(did.sent.size() - 1) == 1) {
-                inside.add(id);
+            long id = sendRequest(0);
+            if (zoneOf(recorder.sent.size() - 1) == 1) {
+                sentToZone.add(id);
             } else {
-                end(id, Outcome.OK);
+                endAttempt(id, Outcome.OK);
             }
             if (i % 10 == 9) {
                 answerProbes(endpoint -> endpoint / 10 != 1);
             }
         }
-        assertTrue(inside.size() < 60, "calls into the silent zone: " + inside);
+        assertTrue(sentToZone.size() < 60, "requests sent to the unresponsive zone: " + sentToZone);
         now += SECOND;
-        inside.forEach(id -> end(id, Outcome.TIMEOUT));
-        serve(200, 20 * MS);
-        assertEquals(serve(100, 10 * MS)[1], 100, "it is found again");
+        sentToZone.forEach(id -> endAttempt(id, Outcome.TIMEOUT));
+        serveRequests(200, 20 * MS);
+        assertEquals(serveRequests(100, 10 * MS)[1], 100, "the zone is used again");
     }
 
-    // ---- bounds a second ----
+    // ---- rate limits ----
 
     @Test
-    public void whatIsOverABoundGoesToTheNextZone() {
-        decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 9_000, 50), share(2, 1_000)));
-        int[] zones = serve(2_000, 5 * MS);
+    public void requestsAboveRateLimitGoToNextZone() {
+        balancer.onZoneShares(now, List.of(new ZoneTrafficShare(1, 9_000, 50), share(2, 1_000)));
+        int[] zones = serveRequests(2_000, 5 * MS);
         assertEquals(zones[1], 50 * 10 + 15, 10);
         assertEquals(zones[2], 2_000 - zones[1]);
     }
 
-    /** Detects a bound that holds only until the other zones are full. */
+    /** The rate limit of a zone must hold even when the other zones are full. */
     @Test
-    public void aBoundHoldsWhereTheOtherZonesAreFull() {
-        decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 5_000, 2), share(2, 5_000)));
+    public void rateLimitHoldsWhenOtherZonesAreFull() {
+        balancer.onZoneShares(now, List.of(new ZoneTrafficShare(1, 5_000, 2), share(2, 5_000)));
         for (int i = 0; i < 100; i++) {
-            decide.onRequest(
-                    now, new Request(++last, 0, 0, now + SECOND, 0, false, false, 20 * MS));
+            balancer.onRequest(
+                    now, new Request(++lastRequest, 0, 0, now + SECOND, 0, false, false, 20 * MS));
         }
-        assertEquals(did.sent.stream().filter(sent -> sent.endpoint() / 10 == 1).count(), 1);
-        assertEquals(did.sent.size(), 1 + EACH * 4, "each holds four");
+        assertEquals(recorder.sent.stream().filter(sent -> sent.endpoint() / 10 == 1).count(), 1);
+        assertEquals(
+                recorder.sent.size(),
+                1 + ENDPOINTS_PER_ZONE * 4,
+                "each serves at most four at once");
     }
 
-    /** Detects calls that wait for a bound: they are refused at once, and none that may run is. */
+    /**
+     * Requests must not wait for a rate limit: excess ones are rejected at once, and none that may
+     * run is rejected.
+     */
     @Test
-    public void whatIsOverAllBoundsIsRefusedAtOnce() {
+    public void requestsAboveAllRateLimitsAreRejectedAtOnce() {
         int served = 0;
         for (int i = 0; i < 2_000; i++) {
-            if (i % 100 == 0) { // replaced under load, with no new savings
-                decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 50)));
+            if (i % 100 == 0) { // replaced under load, without a fresh burst allowance
+                balancer.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 50)));
             }
             now += 5 * MS;
-            did.sent.clear();
-            did.refused.clear();
-            long id = ask(0);
-            assertEquals(did.sent.size() + did.refused.size(), 1, "call " + i);
-            served += did.sent.size();
-            if (!did.sent.isEmpty()) {
-                end(id, Outcome.OK);
+            recorder.sent.clear();
+            recorder.rejected.clear();
+            long id = sendRequest(0);
+            assertEquals(recorder.sent.size() + recorder.rejected.size(), 1, "request " + i);
+            served += recorder.sent.size();
+            if (!recorder.sent.isEmpty()) {
+                endAttempt(id, Outcome.OK);
             }
         }
         assertEquals(served, 50 * 10 + 15, 10);
     }
 
     @Test
-    public void repeatsCountInTheBound() {
-        decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 2)));
-        end(ask(0), Outcome.REJECTED);
-        assertEquals(did.sent.size(), 1, "no second one within half a second");
-        assertEquals(did.refused.size(), 1);
+    public void retriesCountTowardsRateLimit() {
+        balancer.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 2)));
+        endAttempt(sendRequest(0), Outcome.REJECTED);
+        assertEquals(recorder.sent.size(), 1, "no second attempt within half a second");
+        assertEquals(recorder.rejected.size(), 1);
         now += SECOND;
-        decide.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 10)));
+        balancer.onZoneShares(now, List.of(new ZoneTrafficShare(1, 10_000, 10)));
         int sends = 0;
         for (int i = 0; i < 200; i++) {
             now += 50 * MS;
-            did.sent.clear();
-            long id = ask(0);
-            for (int of = 0; of < did.sent.size(); of++) {
+            recorder.sent.clear();
+            long id = sendRequest(0);
+            for (int attempt = 0; attempt < recorder.sent.size(); attempt++) {
                 sends++;
-                decide.onAttemptEnded(
+                balancer.onAttemptEnded(
                         now,
                         id,
-                        of,
-                        did.sent.get(of).endpoint(),
+                        attempt,
+                        recorder.sent.get(attempt).endpoint(),
                         Outcome.REJECTED,
                         MS,
                         false,
                         null);
             }
         }
-        assertTrue(sends <= 10 * 10 + 5 + 1, "sends " + sends);
+        assertTrue(sends <= 10 * 10 + 5 + 1, "attempts sent: " + sends);
     }
 
-    // ---- effects stand above ----
+    // ---- idempotency takes precedence ----
 
     @Test
-    public void aRepeatGoesWhereItsClassAllowsItAndToZonesOfTheTableIfItMay() {
-        shares(share(1, 10_000));
-        long keyed = ask(2);
-        long safe = ask(0);
-        shares(share(2, 10_000));
-        end(keyed, Outcome.ERROR);
-        assertEquals(zoneOf(2), 1, "its key is known there alone");
-        end(safe, Outcome.ERROR);
+    public void retryFollowsKeyScopeFirstAndThenShares() {
+        setShares(share(1, 10_000));
+        long keyed = sendRequest(2);
+        long safe = sendRequest(0);
+        setShares(share(2, 10_000));
+        endAttempt(keyed, Outcome.ERROR);
+        assertEquals(zoneOf(2), 1, "its key is known only in that zone");
+        endAttempt(safe, Outcome.ERROR);
         assertEquals(zoneOf(3), 2);
     }
 
-    // ---- what is wrong ----
+    // ---- invalid shares ----
 
     @Test
-    public void whatIsWrongIsNamedAndTheFormerSharesStand() {
-        shares(share(2, 10_000));
+    public void invalidSharesAreNamedAndFormerSharesRemain() {
+        setShares(share(2, 10_000));
         assertThrows(
-                IllegalArgumentException.class, () -> shares(share(1, 6_000), share(0, 6_000)));
-        assertThrows(IllegalArgumentException.class, () -> shares(share(1, 10), share(1, 10)));
-        assertEquals(serve(20, 5 * MS)[2], 20);
+                IllegalArgumentException.class, () -> setShares(share(1, 6_000), share(0, 6_000)));
+        assertThrows(IllegalArgumentException.class, () -> setShares(share(1, 10), share(1, 10)));
+        assertEquals(serveRequests(20, 5 * MS)[2], 20);
         for (int[] bad :
                 new int[][] {{-1, 1, 0}, {64, 1, 0}, {0, 0, 0}, {0, 10_001, 0}, {0, 1, -1}}) {
-            String said = "";
+            String message = "";
             try {
                 new ZoneTrafficShare(bad[0], bad[1], bad[2]);
             } catch (IllegalArgumentException e) {
-                said = e.getMessage();
+                message = e.getMessage();
             }
-            assertTrue(said.matches("share\\.\\w+: found -?\\d+; allowed: \\d+ to \\d+"), said);
+            assertTrue(
+                    message.matches("share\\.\\w+: found -?\\d+; allowed: \\d+ to \\d+"), message);
         }
     }
 
-    /** Detects a table that is wrong taking the place of none. */
+    /** An invalid list of shares must not take effect where there was none before. */
     @Test
-    public void whatIsWrongAtFirstHoldsNothing() {
+    public void invalidFirstSharesLimitNothing() {
         assertThrows(
-                IllegalArgumentException.class, () -> shares(share(1, 6_000), share(2, 6_000)));
-        assertTrue(serve(100, 5 * MS)[0] > 20);
+                IllegalArgumentException.class, () -> setShares(share(1, 6_000), share(2, 6_000)));
+        assertTrue(serveRequests(100, 5 * MS)[0] > 20);
     }
 }
