--- a/daemon/src/main/java/cedarrudder/transport/AttemptCall.java
+++ b/daemon/src/main/java/cedarrudder/transport/AttemptCall.java
@@ -14,7 +14,7 @@
 import cedarrudder.protocol.SiteSettings;
 import io.netty.buffer.ByteBuf;
 
-/** An attempt at a request, on its way to an endpoint and back. */
+/** An attempt at a request, sent to an endpoint. */
 final class AttemptCall extends EndpointCall {
 
     private static final int OK_STATUS = 200;
@@ -32,7 +32,10 @@
         this.attempt = attempt;
     }
 
-    /** An endpoint that was removed may have left its address to another one. */
+    /**
+     * Returns whether the attempt may start; fails it if the endpoint was removed, since its
+     * address may belong to another endpoint now.
+     */
     @Override
     boolean mayStart() {
         if (endpoint().isRemoved()) {
@@ -79,7 +82,7 @@
         pool.forwarder().responseStarted(attempt, answer, load(answer));
     }
 
-    /** The load that an answer reports; null where it reports none. */
+    /** Returns the load that a response reports; null if it reports none. */
     private LoadReport load(HttpMessage answer) {
         return pool.reports() == SiteSettings.Reports.ANSWERS
                 ? LoadReportParser.parse(answer.head().fields().get("srv-load"))
@@ -88,7 +91,7 @@
 
     @Override
     void onAnswer(HttpMessage answer) {
-        pool.forget(attempt);
+        pool.onAttemptEnded(attempt);
         endpoint().onAnswer();
         LoadReport load = load(answer);
         DownstreamFeedback feedback =
@@ -96,7 +99,8 @@
                         ? DownstreamFeedback.NOTHING
                         : BudgetHeaders.result(answer);
         if (answer.head().status() == OK_STATUS) {
-            // Where it was streamed the exchange is over, and this only reports the end.
+            // // If the response was streamed, the exchange has ended, and this only reports the
+            // end.
             pool.forwarder().served(attempt, answer, load, feedback);
         } else {
             Outcome outcome = isDeclined(answer) ? Outcome.REJECTED : Outcome.ERROR;
@@ -106,7 +110,7 @@
 
     @Override
     void onFailure(Outcome outcome) {
-        pool.forget(attempt);
+        pool.onAttemptEnded(attempt);
         if (outcome != Outcome.NOT_STARTED) {
             endpoint().onFailure();
         }
--- a/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
@@ -7,23 +7,23 @@
 import io.netty.channel.Channel;
 import io.netty.channel.WriteBufferWaterMark;
 
-/** Writes a flow to a channel, no faster than the channel takes it. */
+/** Writes a body flow to a channel, no faster than the channel accepts it. */
 final class BodyWriter {
 
     /**
-     * The least and the most bytes that wait to be written to a peer while a body flows to it; a
-     * piece, of 16 KiB at most, may come on top. This avoids direct memory that clients use up who
-     * don't read.
+     * The water marks of bytes that wait to be written to a peer while a body is streamed to it;
+     * one piece, of 16 KiB at most, may be added. Limits the direct memory that is used for clients
+     * that don't read.
      */
     static final WriteBufferWaterMark WRITE_AHEAD = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
 
-    /** What comes of it; one of these is called, once. */
+    /** The result of writing; exactly one method is called, once. */
     interface CompletionListener {
-        /** The last byte is written. */
+        /** Called when the last byte is written. */
         void onBodyWritten();
 
-        /** The rest doesn't come, or the channel takes no more. */
-        void broke();
+        /** Called when the rest of the body is not received, or the channel fails. */
+        void onBodyFailed();
     }
 
     private final ProxyEventLoop loop;
@@ -34,11 +34,13 @@
     private final CompletionListener listener;
     private long lastProgressAt;
     private boolean pumping;
-    private boolean over;
+    private boolean ended;
     private boolean stopped;
 
     /**
-     * @param onBytesTaken runs before each piece that is taken for good
+     * Creates a writer, which writes whenever the flow is readable.
+     *
+     * @param onBytesTaken runs before each piece that is removed from the flow
      */
     BodyWriter(
             ProxyEventLoop loop,
@@ -58,10 +60,11 @@
     }
 
     /**
-     * Writes what there is, as far as the channel takes it; to be called when it takes more again.
+     * Writes the available bytes as far as the channel accepts them; to be called when the channel
+     * becomes writable again.
      */
     void pump() {
-        if (pumping || over) {
+        if (pumping || ended) {
             return;
         }
         boolean wrote;
@@ -69,19 +72,19 @@
         try {
             wrote = writePieces();
         } catch (OutOfMemoryError e) {
-            // A piece is lost: this avoids a body that goes on without it, or waits for good.
+            // // A piece is lost: the body must not continue without it, or wait for it for ever.
             loop.log().fault("body.write_failed", e).write();
             stop();
-            listener.broke();
+            listener.onBodyFailed();
             return;
         } finally {
             pumping = false;
         }
         if (flow.isBroken()) {
-            over = true;
-            listener.broke();
+            ended = true;
+            listener.onBodyFailed();
         } else if (flow.isAtEnd()) {
-            over = true;
+            ended = true;
             writeEnd();
         } else if (wrote) {
             channel.flush();
@@ -110,35 +113,41 @@
 
     private void onEndWritten(boolean success) {
         if (stopped) {
-            return; // this avoids news of a body to a client or an endpoint that has gone
+            return; // // the client or the endpoint has disconnected and needs no result
         }
         if (success) {
             listener.onBodyWritten();
         } else {
-            listener.broke();
+            listener.onBodyFailed();
         }
     }
 
-    /** Whether the channel takes nothing, and has taken nothing for this long, in nanoseconds. */
-    boolean stuck(long nanos) {
+    /**
+     * Returns whether the channel is not writable and no piece has been written for this long, in
+     * nanoseconds.
+     */
+    boolean isStuck(long nanos) {
         return !channel.isWritable() && loop.now() - lastProgressAt >= nanos;
     }
 
     /**
-     * Since when the channel has had something to take and has taken nothing, by the loop's clock
-     * in nanoseconds; now where all that there was has gone out.
+     * Returns the instant since which bytes have waited without progress of the channel, by the
+     * event loop's clock in nanoseconds; the current time if all bytes have been written.
      */
-    long waitsSince() {
+    long stalledSince() {
         return channel.bytesBeforeUnwritable() >= WRITE_AHEAD.high() ? loop.now() : lastProgressAt;
     }
 
-    /** Nothing more is written, and no listener is called; the flow is left for another. */
+    /**
+     * Stops writing without calling the listener; the flow is not changed, so that another writer
+     * may continue it.
+     */
     void halt() {
-        over = true;
+        ended = true;
         stopped = true;
     }
 
-    /** Nothing more is written, and nobody is told; the rest is dropped. */
+    /** Stops writing without calling the listener, and drops the rest of the flow. */
     void stop() {
         halt();
         flow.fail();
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
@@ -17,19 +17,19 @@
 import java.util.function.Supplier;
 
 /**
- * One connection from a client, on which one request is answered at a time. Its life is the table
- * of {@link ClientConnectionState}; {@link RequestReader} reads its requests, {@link ClientRequest}
- * is the one that is open.
+ * A connection from a client, on which one request is answered at a time. Its states and
+ * transitions are defined by {@link ClientConnectionState}; {@link RequestReader} reads its
+ * requests, and {@link ClientRequest} is the open one.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
 
     private static final String HEALTH_PATH = "/_health";
 
     /**
-     * Requests of one connection that are still answered where its last response was due, since
-     * they stood right behind it; a client may send ahead without end.
+     * The maximum number of pipelined requests that are still answered after the response that was
+     * to be the last of the connection. Bounded because a client may pipeline requests without end.
      */
-    private static final int MAX_BEHIND_LAST = 64;
+    private static final int MAX_PIPELINED_AFTER_LAST = 64;
 
     private final ServerContext server;
     private final ClientConnections connections;
@@ -39,20 +39,20 @@
     private final LingeringClose lingering = new LingeringClose();
     private ClientConnectionState state = ClientConnectionState.NEW;
 
-    /** The request that is open; null where none is. */
+    /** The open request; null if there is none. */
     private ClientRequest request;
 
-    /** The response that is being streamed; null where none is. */
+    /** The response body that is being streamed; null if there is none. */
     private BodyWriter download;
 
     private boolean keepAlive;
-    private int answeredBehindLast;
+    private int answeredAfterLast;
 
-    /** Since when it has been in its present state, as far as closing it is concerned. */
-    private long since;
+    /** The instant from which the present state counts when a connection to close is chosen. */
+    private long stateSince;
 
-    /** When its time is over. */
-    private long due;
+    /** The instant at which the present state times out. */
+    private long timeoutAt;
 
     ClientConnection(
             ServerContext server,
@@ -66,21 +66,24 @@
         this.reader = new RequestReader(server, shutdown, this, channel);
     }
 
-    // ---- its state
+    // // ---- state
 
     ClientConnectionState state() {
         return state;
     }
 
-    long since() {
-        return since;
+    long stateSince() {
+        return stateSince;
     }
 
     InetSocketAddress remoteAddress() {
         return channel.remoteAddress();
     }
 
-    /** The one place where its state changes. What can't come in a state ends it alone. */
+    /**
+     * Changes the state; the only method that does. An event that is illegal in the present state
+     * is logged and closes this connection only.
+     */
     void on(ClientConnectionState.Event event) {
         ClientConnectionState next = state.on(event);
         if (next == null) {
@@ -89,24 +92,25 @@
                     .fault("client.failed", new IllegalStateException(event + " in " + state))
                     .with("client", remoteAddress())
                     .write();
-            breakOff();
+            abort();
             return;
         }
         long now = server.loop().now();
-        if (connections.move(this, state, next)) {
-            since = now;
+        if (connections.onStateChanged(this, state, next)) {
+            stateSince = now;
         }
-        due = dueIn(next, now);
+        timeoutAt = timeoutOf(next, now);
         state = next;
     }
 
-    /** When its time is over, once it comes to this state. */
-    private long dueIn(ClientConnectionState next, long now) {
+    /** Returns the instant at which a state times out that is entered now. */
+    private long timeoutOf(ClientConnectionState next, long now) {
         ClientLimits limits = server.limits();
         return switch (next) {
             case READING_HEAD ->
-                    // The time of the first request counts from the connection.
-                    state == ClientConnectionState.NEW ? due : now + limits.requestTimeout();
+                    // // The timeout of the first request counts from when the connection was
+                    // accepted.
+                    state == ClientConnectionState.NEW ? timeoutAt : now + limits.requestTimeout();
             case NEW, READING_BODY -> now + limits.requestTimeout();
             case IDLE -> now + limits.idleTimeout();
             case RESPONDING, SENDING_LAST_RESPONSE -> now + limits.responseTimeout();
@@ -115,39 +119,42 @@
         };
     }
 
-    void setDue(long instant) {
-        due = instant;
+    void setTimeoutAt(long instant) {
+        timeoutAt = instant;
     }
 
-    boolean isDue(long now) {
-        return now >= due;
+    boolean hasTimedOut(long now) {
+        return now >= timeoutAt;
     }
 
-    /** Its time is over, unless what it waits for has come and was not read. */
+    /** Handles a timeout, unless input that has been received but not read yet extends it. */
     void expire() {
-        if (!state.ends()) {
+        if (!state.isEnding()) {
             reader.readNow();
         }
         if (download != null) {
-            // A client that reads all there is does not pay for an endpoint that takes its time.
-            due = Math.max(due, download.waitsSince() + server.limits().responseTimeout());
+            // // A client that reads everything it is sent is not timed out because an endpoint is
+            // slow.
+            timeoutAt =
+                    Math.max(
+                            timeoutAt, download.stalledSince() + server.limits().responseTimeout());
         }
-        if (server.loop().now() < due) {
+        if (server.loop().now() < timeoutAt) {
             return;
         }
-        if (state.takesRequests()) {
-            giveUp();
+        if (state.acceptsRequests()) {
+            closeOrLinger();
         } else {
-            breakOff();
+            abort();
         }
     }
 
-    // ---- channel events
+    // // ---- channel events
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        since = server.loop().now();
-        due = dueIn(state, since);
+        stateSince = server.loop().now();
+        timeoutAt = timeoutOf(state, stateSince);
         connections.add(this);
     }
 
@@ -159,7 +166,9 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (download != null && channel.isWritable()) {
-            due = server.loop().now() + server.limits().responseTimeout(); // the client reads
+            timeoutAt =
+                    server.loop().now()
+                            + server.limits().responseTimeout(); // // the client is reading
             download.pump();
         }
     }
@@ -170,11 +179,12 @@
         on(ClientConnectionState.Event.CLOSE);
         reader.close();
         if (download != null) {
-            // First, since what ends the attempt would break off a response on a closed channel.
+            // // Before the attempt is ended, which would otherwise abort a response on a closed
+            // channel.
             download.stop();
             download = null;
         }
-        leave();
+        abandonRequest();
         reader.dropUpload();
         connections.acceptAgain();
         shutdown.endIfEmpty();
@@ -192,15 +202,15 @@
         context.close();
     }
 
-    // ---- requests
+    // // ---- requests
 
     /**
-     * Takes a request.
+     * Accepts a request and passes it to the forwarder.
      *
-     * @param uploadNanos how much longer its time may be while its body is streamed; 0: it is
-     *     complete
+     * @param uploadNanos by how much the deadline is extended while the body is streamed, in
+     *     nanoseconds; 0: the request is complete
      */
-    void take(HttpMessage message, long uploadNanos) throws MalformedMessageException {
+    void acceptRequest(HttpMessage message, long uploadNanos) throws MalformedMessageException {
         keepAlive = message.head().keepsAlive();
         if (message.head().target().equals(HEALTH_PATH)) {
             respondToHealthCheck();
@@ -212,20 +222,20 @@
         long timeoutAfterUpload = read.deadline() - receivedAt;
         String id = message.head().fields().get("req-id");
         server.openId(id);
-        ClientRequest taken = new ClientRequest(server, this, message, id);
+        ClientRequest accepted = new ClientRequest(server, this, message, id);
         on(ClientConnectionState.Event.REQUEST);
         Exchange<HttpMessage, HttpMessage> exchange =
                 new Exchange<>(
                         uploadNanos > 0 ? uploading(read, uploadNanos) : read,
                         message,
-                        taken,
+                        accepted,
                         budget);
         if (uploadNanos > 0) {
             exchange.withUpload(timeoutAfterUpload);
         }
-        taken.setExchange(exchange);
-        request = taken;
-        server.accept(exchange, taken);
+        accepted.setExchange(exchange);
+        request = accepted;
+        server.accept(exchange, accepted);
     }
 
     private static Request uploading(Request request, long uploadNanos) {
@@ -247,28 +257,34 @@
         write(ownResponse(healthy ? 200 : 503, healthy ? "ready" : "not ready", last), last);
     }
 
-    /** The body of the open request is complete. */
+    /** Notifies the forwarder that the body of the open request is complete. */
     void uploadComplete() {
         server.forwarder().uploadComplete(request.exchange());
     }
 
-    /** Responds to a request that can't be read, and closes once the client may have read that. */
+    /**
+     * Responds to a malformed request, and closes the connection once the client has had time to
+     * read the response.
+     */
     void reject(MalformedMessageException e) {
         if (reader.dropsInput()) {
-            return; // the rest of a body whose request was answered meanwhile
+            return; // // the rest of a body whose request was answered in the meantime
         }
         boolean streaming = download != null;
         if (streaming) {
-            breakOff(); // another response can't follow
+            abort(); // // another response can't follow
         }
-        leave();
+        abandonRequest();
         reader.dropUpload();
         if (!streaming) {
             write(ownResponse(e.status(), e.getMessage(), true), true);
         }
     }
 
-    /** Whether the client still waits for the response to this request, looked up now. */
+    /**
+     * Returns whether the client still waits for the response to this request, after reading what
+     * the socket has received by now.
+     */
     boolean isClientWaiting(ClientRequest asked) {
         reader.readNow();
         return request == asked && channel.isOpen();
@@ -278,17 +294,17 @@
         return reader.canDetectDisconnect();
     }
 
-    /** Whether a body is streamed, either way. */
+    /** Returns whether a request body or a response body is being streamed. */
     boolean isStreaming() {
         return reader.isUploading() || download != null;
     }
 
-    // ---- responses
+    // // ---- responses
 
     /**
-     * Whether the response at hand is the last of its connection; asked once for each. Where the
-     * service ends, what has come behind the request is read first, and served: requests may not be
-     * taken and never answered.
+     * Returns whether the next response is the last of its connection; called once for each
+     * response. During a shutdown, pipelined requests are read first and answered, because a
+     * request that was read must not stay unanswered.
      */
     boolean isLastResponse() {
         if (!keepAlive || reader.isUploading()) {
@@ -301,11 +317,11 @@
         if (!reader.hasBytes()) {
             return true;
         }
-        answeredBehindLast++;
-        return answeredBehindLast > MAX_BEHIND_LAST;
+        answeredAfterLast++;
+        return answeredAfterLast > MAX_PIPELINED_AFTER_LAST;
     }
 
-    /** Encodes a response; null where that can't be done, for want of memory say. */
+    /** Encodes a response; returns null if that fails, for example for lack of memory. */
     ByteBuf encode(Supplier<ByteBuf> encoder) {
         try {
             return encoder.get();
@@ -322,7 +338,7 @@
     /**
      * Ends the open request with a response.
      *
-     * @param response null where it could not be encoded: the client sees a break instead
+     * @param response null if it could not be encoded: the connection is closed instead
      */
     void respond(ByteBuf response, boolean last) {
         closeRequest();
@@ -335,15 +351,15 @@
         }
     }
 
-    /** Passes on a response that is streamed; the request is open until its end. */
+    /** Streams a response; the request stays open until the end of the body. */
     void stream(BodyFlow flow, boolean chunked, boolean last, Supplier<ByteBuf> headEncoder) {
         if (state == ClientConnectionState.CLOSED) {
-            return; // the end of the connection, reported next, ends the attempt
+            return; // // channelInactive follows and ends the attempt
         }
         on(last ? ClientConnectionState.Event.LAST_RESPONSE : ClientConnectionState.Event.RESPONSE);
         ByteBuf head = encode(headEncoder);
         if (head == null) {
-            close(); // which ends the attempt, too
+            close(); // // this also ends the attempt
             return;
         }
         channel.write(head);
@@ -362,8 +378,8 @@
         }
 
         @Override
-        public void broke() {
-            breakOff();
+        public void onBodyFailed() {
+            abort();
         }
     }
 
@@ -374,9 +390,11 @@
     }
 
     /**
-     * Writes a response; the next request is decoded once it is out, or the connection ended.
+     * Writes a response. The next request is decoded once the response is written, unless the
+     * connection has ended.
      *
-     * @param last whether it is the connection's last: what comes from now on is dropped
+     * @param last whether the response is the last of the connection; input received from now on is
+     *     dropped
      */
     private void write(ByteBuf response, boolean last) {
         on(last ? ClientConnectionState.Event.LAST_RESPONSE : ClientConnectionState.Event.RESPONSE);
@@ -411,53 +429,62 @@
     }
 
     /**
-     * No response is owed any more. The forwarder learns of it before what the client sends is
-     * dropped, which would else be taken for an endpoint's failure, and answered.
+     * Abandons the open request, whose response is no longer needed. The forwarder is notified
+     * before the upload is dropped; otherwise the dropped upload would count as a failure of the
+     * endpoint, and be answered.
      */
-    private void leave() {
+    private void abandonRequest() {
         if (request != null) {
-            ClientRequest left = request;
-            server.forwarder().clientLeft(left.exchange());
-            if (request == left) {
+            ClientRequest abandoned = request;
+            server.forwarder().clientLeft(abandoned.exchange());
+            if (request == abandoned) {
                 closeRequest();
             }
         }
     }
 
-    // ---- the end of the connection
+    // // ---- end of the connection
 
-    /** Reads what has come; whether the connection may still be closed as it was chosen for. */
+    /**
+     * Reads pending input and returns whether the connection is still in the state for which it was
+     * chosen to be closed.
+     */
     boolean isUnchangedAfterRead() {
         ClientConnectionState before = state;
         long received = reader.receivedBytes();
         reader.readNow();
-        return state == before && (reader.receivedBytes() == received || !before.rests());
+        return state == before
+                && (reader.receivedBytes() == received || !before.isBetweenRequests());
     }
 
     /**
-     * Whether it may be closed as one on which nothing is open. One that has just come may not: its
-     * first request is on its way and would fail.
+     * Returns whether the connection may be closed if no request is open on it. A new connection
+     * may not: its first request is on the way and would fail.
      */
     boolean mayBeClosed(long now) {
         return state != ClientConnectionState.NEW
-                || now - since >= ClientConnections.REQUEST_GAP_NANOS;
+                || now - stateSince >= ClientConnections.REQUEST_GAP_NANOS;
     }
 
     /**
-     * Closes it, as one on which nothing is owed, unless a request has come, or a part of one,
-     * which is taken instead, or by whoever is decoding. It is closed and not shut: a request that
-     * comes in this very moment goes back to its client unread as a reset, and is sent elsewhere.
+     * Closes a connection without an open request, unless a request or a part of one has been
+     * received, which is then processed instead, here or by the decoding that is in progress.
+     * Closes both directions at once rather than only the output: a request that arrives at this
+     * moment is reset unread, so that its client can send it elsewhere.
      */
     void closeIfQuiet() {
         reader.readNow();
-        if (state.rests() && !reader.hasBytes()) {
+        if (state.isBetweenRequests() && !reader.hasBytes()) {
             close();
         }
     }
 
-    /** Nothing is owed on it: as {@link #closeIfQuiet}, but for half a request, which is read. */
-    private void giveUp() {
-        if (state.rests()) {
+    /**
+     * Closes a connection without an open request as {@link #closeIfQuiet} does, but with a
+     * lingering close if part of a request has been received.
+     */
+    private void closeOrLinger() {
+        if (state.isBetweenRequests()) {
             close();
         } else {
             on(ClientConnectionState.Event.HALF_CLOSE);
@@ -465,21 +492,24 @@
         }
     }
 
-    /** The process ends: what is open has had its time. */
+    /**
+     * Ends the open request, or closes the connection if none is open, because the process is about
+     * to end.
+     */
     void cutOff() {
         reader.readNow();
         if (request != null) {
             server.forwarder().expireNow(request.exchange());
-        } else if (state.takesRequests()) {
-            giveUp();
+        } else if (state.acceptsRequests()) {
+            closeOrLinger();
         }
     }
 
-    /** Begins the lingering close: what is read from here on goes to no endpoint. */
+    /** Begins the lingering close: input that is read from here on is not forwarded. */
     private void linger() {
         reader.dropUpload();
         reader.dropBytes();
-        lingering.start(since);
+        lingering.start(stateSince);
         channel.shutdownOutput();
         channel.config().setAutoRead(true);
     }
@@ -490,17 +520,17 @@
         bytes.release();
         long now = server.loop().now();
         if (tooMany) {
-            due = now;
+            timeoutAt = now;
         } else if (state == ClientConnectionState.LINGERING) {
-            due = lingering.dueAfter(now);
+            timeoutAt = lingering.dueAfter(now);
         }
     }
 
     /**
-     * Ends it at once: a reset where a response is streamed, since one without a length that ends
-     * early would look complete.
+     * Closes the connection at once. Resets it if a response is being streamed, since a response
+     * without a length that ends early would look complete.
      */
-    void breakOff() {
+    void abort() {
         if (download != null) {
             download.stop();
             download = null;
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnectionState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnectionState.java
@@ -1,53 +1,54 @@
 package cedarrudder.transport;
 
 /**
- * Where a client's connection is in its life, as one table of states and events. So no response can
- * begin on a connection whose output has ended, and no request is taken behind that.
+ * The states of a client connection and the transitions between them. The table ensures that no
+ * response begins on a connection whose output has ended, and that no request is accepted after
+ * that.
  */
 enum ClientConnectionState {
-    /** Nothing was received on it yet. */
+    /** No bytes have been received yet. */
     NEW,
-    /** It is between two requests. */
+    /** The connection is between two requests. */
     IDLE,
-    /** Part of a head is there. */
+    /** Part of a head has been received. */
     READING_HEAD,
-    /** Part of a body is there, which is collected. */
+    /** Part of a body that is buffered has been received. */
     READING_BODY,
     /** A request is open; its body may still be streamed. */
     REQUEST_OPEN,
-    /** A response is being written, behind which the next request is read. */
+    /** A response is being written; the next request is read after it. */
     RESPONDING,
     /**
-     * Its last response is being written: what comes is dropped, but for a body that is still
+     * The last response is being written: input is dropped, except for a body that is still
      * streamed.
      */
     SENDING_LAST_RESPONSE,
-    /** The lingering close: our output has ended, and what comes is dropped. */
+    /** The lingering close: the output has ended, and input is dropped. */
     LINGERING,
-    /** It is closed. */
+    /** The connection is closed. */
     CLOSED;
 
-    /** What changes the state. */
+    /** The events that change the state. */
     enum Event {
-        /** The first byte of a request is there. */
+        /** The first byte of a request was received. */
         BYTES,
         /** A head is complete, and its body is not. */
         HEAD,
-        /** A request is taken. */
+        /** A request is accepted. */
         REQUEST,
         /** A response begins. */
         RESPONSE,
-        /** A response begins that is the connection's last. */
+        /** The last response of the connection begins. */
         LAST_RESPONSE,
         /** The response is written. */
         WRITTEN,
-        /** Our output ends with nothing owed. */
+        /** The output is ended while no response is outstanding. */
         HALF_CLOSE,
-        /** The connection ends, from whichever side; more than once at times. */
+        /** Either side closes the connection; may occur more than once. */
         CLOSE
     }
 
-    /** The state after an event; null where it can't come in this one. */
+    /** Returns the state after an event; null if the event is illegal in this state. */
     ClientConnectionState on(Event event) {
         if (event == Event.CLOSE) {
             return CLOSED;
@@ -80,18 +81,18 @@
         };
     }
 
-    /** Whether nothing is open on it, and a request, or the rest of one, is decoded. */
-    boolean takesRequests() {
+    /** Returns whether no request is open and input is decoded as a request. */
+    boolean acceptsRequests() {
         return this == NEW || this == IDLE || this == READING_HEAD || this == READING_BODY;
     }
 
-    /** Whether it may be closed as one on which nothing was requested. */
-    boolean rests() {
+    /** Returns whether no part of a request has been received since the last response. */
+    boolean isBetweenRequests() {
         return this == NEW || this == IDLE;
     }
 
-    /** Whether what comes is dropped, but for a body that is still streamed. */
-    boolean ends() {
+    /** Returns whether input is dropped, except for a body that is still streamed. */
+    boolean isEnding() {
         return this == SENDING_LAST_RESPONSE || this == LINGERING || this == CLOSED;
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnections.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnections.java
@@ -7,14 +7,15 @@
 import java.util.function.Consumer;
 
 /**
- * The client connections of a server and the bound on their number. Beyond the bound each new
- * connection costs one that may be closed; where there is none, new ones wait to be accepted. It
- * belongs to the event loop.
+ * The client connections of a server, whose number is limited. Each new connection beyond the limit
+ * evicts one that may be closed; if there is none, new connections wait to be accepted. Used on the
+ * event loop only.
  */
 final class ClientConnections {
 
     /**
-     * The bytes of a request that is sent in one piece come sooner, even to a loop that is late.
+     * The maximum gap between the bytes of a request that is sent in one piece, even as seen by a
+     * loop that is late.
      */
     static final long REQUEST_GAP_NANOS = 100_000_000L;
 
@@ -22,7 +23,7 @@
     private final Consumer<Boolean> setAccepting;
     private final Set<ClientConnection> all = new HashSet<>();
 
-    /** Those that may be closed to make room, by their state; the longest in it come first. */
+    /** Connections that may be evicted, by state; those longest in it come first. */
     private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
     private final Set<ClientConnection> silent = new LinkedHashSet<>();
@@ -32,10 +33,10 @@
     private boolean full;
 
     /**
-     * No connections.
+     * Creates an empty set of connections.
      *
-     * @param max how many there may be
-     * @param setAccepting whether further connections are accepted
+     * @param max the maximum number of connections
+     * @param setAccepting controls whether further connections are accepted
      */
     ClientConnections(ServerContext server, int max, Consumer<Boolean> setAccepting) {
         this.server = server;
@@ -47,12 +48,12 @@
         return all.size();
     }
 
-    /** A copy, since most of what is done to a connection changes the set. */
-    List<ClientConnection> copy() {
+    /** Returns a copy of the set, since most operations on a connection change the set. */
+    List<ClientConnection> snapshot() {
         return List.copyOf(all);
     }
 
-    /** Sets the bound; where fewer may be there than are, some are closed. */
+    /** Sets the maximum number of connections, and evicts some if there are more. */
     void setMax(int next) {
         max = next;
         for (int excess = all.size() - max; !full && excess > 0; excess--) {
@@ -74,11 +75,12 @@
     }
 
     /**
-     * A connection goes from one state to another.
+     * Records that the state of a connection changes.
      *
-     * @return whether how it may be closed changes, so that its time there starts anew
+     * @return whether the connection moves to another set of evictable ones, so that its time
+     *     counts anew
      */
-    boolean move(
+    boolean onStateChanged(
             ClientConnection connection, ClientConnectionState from, ClientConnectionState to) {
         Set<ClientConnection> before = closable(from);
         Set<ClientConnection> after = closable(to);
@@ -94,7 +96,10 @@
         return true;
     }
 
-    /** The connections of this state that may be closed to make room; null where none may be. */
+    /**
+     * Returns the set of evictable connections of a state; null if connections in that state may
+     * not be evicted.
+     */
     private Set<ClientConnection> closable(ClientConnectionState state) {
         return switch (state) {
             case NEW -> silent;
@@ -106,18 +111,19 @@
     }
 
     /**
-     * Closes one connection: first those that have their last response, then those that have long
-     * sent nothing or half a request, then idle ones, then half a request that does not seem to be
-     * on its way, then the silent one that has been there longest.
+     * Evicts one connection. The order is: connections that have their last response; connections
+     * that have long been silent or have long had a partial request; idle connections; connections
+     * with a partial request whose rest does not seem to be on the way; the connection that has
+     * been silent longest.
      *
-     * <p>A connection that has just come goes last: its first request is on its way and would fail,
-     * where a client between requests would only have to connect again. What has come on a
-     * connection is read before it is closed: a request that it brings is taken, and another one is
-     * closed.
+     * <p>A new connection is evicted last: its first request is on the way and would fail, whereas
+     * a client between requests only has to connect again. Pending input of a connection is read
+     * before it is evicted; if that is a request, it is processed and another connection is
+     * evicted.
      */
     private void evictOne() {
-        ClientConnection candidate = firstToClose();
-        for (int looks = all.size(); candidate != null && looks > 0; looks--) {
+        ClientConnection candidate = nextToEvict();
+        for (int checksLeft = all.size(); candidate != null && checksLeft > 0; checksLeft--) {
             if (candidate.isUnchangedAfterRead()) {
                 server.loop()
                         .log()
@@ -128,13 +134,13 @@
                 candidate.close();
                 return;
             }
-            candidate = firstToClose();
+            candidate = nextToEvict();
         }
         full = true;
         setAccepting.accept(false);
     }
 
-    private ClientConnection firstToClose() {
+    private ClientConnection nextToEvict() {
         long silentLong = server.limits().silentAfter();
         ClientConnection first = oldest(lingering, 0);
         first = first != null ? first : oldest(silent, silentLong);
@@ -144,14 +150,17 @@
         return first != null || silent.size() <= 1 ? first : oldest(silent, 0);
     }
 
-    /** The one that has been among these longest, and for this long; null where there is none. */
-    private ClientConnection oldest(Set<ClientConnection> among, long minNanos) {
-        ClientConnection first = among.isEmpty() ? null : among.iterator().next();
-        boolean longEnough = first != null && first.since() + minNanos <= server.loop().now();
+    /**
+     * Returns the connection that is longest in this set, if it has been there for at least this
+     * long; otherwise null.
+     */
+    private ClientConnection oldest(Set<ClientConnection> set, long minNanos) {
+        ClientConnection first = set.isEmpty() ? null : set.iterator().next();
+        boolean longEnough = first != null && first.stateSince() + minNanos <= server.loop().now();
         return longEnough ? first : null;
     }
 
-    /** Accepts connections again where there is room. */
+    /** Accepts connections again if the limit allows it. */
     void acceptAgain() {
         if (full && all.size() <= max) {
             full = false;
@@ -159,10 +168,10 @@
         }
     }
 
-    /** Ends those whose time is over and makes room where connections wait to be accepted. */
+    /** Ends connections that have timed out, and evicts some while new ones wait to be accepted. */
     void sweep(long now) {
-        for (ClientConnection connection : copy()) {
-            if (connection.isDue(now)) {
+        for (ClientConnection connection : snapshot()) {
+            if (connection.hasTimedOut(now)) {
                 connection.expire();
             }
         }
@@ -172,12 +181,15 @@
         acceptAgain();
     }
 
-    /** Closes those on which nothing is open. */
+    /** Closes the connections without an open request. */
     void closeIdle(long now) {
         closeIdle(now, Long.MAX_VALUE, List.of(silent, idle));
     }
 
-    /** Closes an even part of those on which nothing is open, the longest idle first. */
+    /**
+     * Closes an equal fraction, for each sweep that is left, of the connections without an open
+     * request, those idle longest first.
+     */
     void closeSomeIdle(long now, long sweepsLeft) {
         long count = (idle.size() + silent.size() + sweepsLeft - 1) / sweepsLeft;
         closeIdle(now, count, List.of(idle, silent));
@@ -185,8 +197,8 @@
 
     private void closeIdle(long now, long count, List<Set<ClientConnection>> order) {
         long left = count;
-        for (Set<ClientConnection> among : order) {
-            for (ClientConnection connection : List.copyOf(among)) {
+        for (Set<ClientConnection> set : order) {
+            for (ClientConnection connection : List.copyOf(set)) {
                 if (left > 0) {
                     left--;
                     if (connection.mayBeClosed(now)) {
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -27,26 +27,27 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The connections to discovery: the watch on changes, and calls for the whole list. When they are
- * made and given up is for a {@link DiscoveryPollSchedule} to say, one for the watch and one for
- * each whole list.
+ * The connections to discovery: the watch for changes, and calls for the whole list. A {@link
+ * DiscoveryPollSchedule} for the watch, and one for each whole list, decides when calls are made
+ * and given up.
  */
 public final class DiscoveryClient implements EndpointDiscovery {
 
-    /** Why a call was dropped, as the log says it. */
+    /** The reason for dropping a call that is written to the log. */
     private static final String SILENT_REASON = "silent";
 
     private static final String LIST_PATH = "/catalog/members";
 
-    /** The largest list that is read. */
+    /** The maximum size of a list, in bytes. */
     private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
-    /** What has come meanwhile is read for this long, in nanoseconds, before silence is judged. */
+    /** The time for which pending input is read before a call is judged silent, in nanoseconds. */
     private static final long READ_TURN_NANOS = 1_000_000L;
 
     /**
-     * A connection may come up so late, in nanoseconds. One that is still not up after it is not
-     * waited for by a new call: what was lost on the way is sent again ever later.
+     * The time within which a connection may still be established, in nanoseconds. A new call does
+     * not wait for a connection that takes longer: lost packets are retransmitted at growing
+     * intervals.
      */
     private static final long CONNECT_GRACE_NANOS = 1_050_000_000L;
 
@@ -63,26 +64,30 @@
     private final long refetchDelay;
     private long version;
 
-    /** The last version of which nothing waits: changes are asked for from there. */
+    /**
+     * The latest version for which no endpoint was left out; changes are requested from this
+     * version on.
+     */
     private long completeVersion;
 
     private boolean incomplete;
     private boolean refetchScheduled;
 
     /**
-     * @param longest this long after a failure the watch is asked for again at the latest, in
-     *     nanoseconds
+     * Creates a client that has made no call yet.
+     *
+     * @param maxBackoffNanos the maximum time from a failure to the next watch call, in nanoseconds
      * @param version the version of the list that the proxy starts with
-     * @param unavailableListener called when no call is left to wait for
-     * @param listReader leaves out what there is no room for; null: all is read
-     * @param refetchDelay after this long, in nanoseconds, and by chance up to half as much more,
-     *     the whole list is asked for anew where endpoints were left out
+     * @param unavailableListener called when all calls have failed
+     * @param listReader leaves out endpoints for which there is no capacity; null: all are read
+     * @param refetchDelay the time after which the whole list is requested again if endpoints were
+     *     left out, in nanoseconds; a random part of up to half as much is added
      */
     public DiscoveryClient(
             ProxyEventLoop loop,
             InetSocketAddress address,
             DiscoveryTimeouts timeouts,
-            long longest,
+            long maxBackoffNanos,
             RandomGenerator random,
             EndpointListParser parser,
             long version,
@@ -106,10 +111,10 @@
                         .group(loop.group())
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.ALLOCATOR, loop.buffers());
-        this.watch = new DiscoveryRequests(true, longest);
+        this.watch = new DiscoveryRequests(true, maxBackoffNanos);
     }
 
-    /** These figures count from now on; a wait that has begun may last for as long as it was to. */
+    /** Sets the timeouts that apply from now on; a wait that has begun keeps its length. */
     public void setTimeouts(DiscoveryTimeouts next) {
         timeouts = next;
         watch.schedule.apply(next);
@@ -125,9 +130,9 @@
     }
 
     /**
-     * Discovery has moved: calls go to its new address from now on, and so does the watch. Guards
-     * against a gap in the list: the watch at the old address goes on telling until the new one
-     * does.
+     * Sets a new address of discovery, to which calls and the watch go from now on. The watch at
+     * the old address continues to deliver changes until the new one is established, so that no
+     * change is missed.
      */
     public void moveTo(InetSocketAddress next) {
         if (!next.equals(address)) {
@@ -142,17 +147,18 @@
     }
 
     /**
-     * What was read counts. This avoids a version that is taken for known while endpoints of it
-     * wait: discovery would tell them no more.
+     * Records whether a list that was applied is complete. If endpoints were left out, the version
+     * from which changes are requested stays behind: discovery would not send these endpoints
+     * again.
      *
-     * @param all whether what came had all that waited before
+     * @param all whether the list contained all endpoints that were left out before
      */
-    private void onListTaken(boolean all) {
-        boolean left = listReader != null && listReader.last().waits() > 0;
-        if (left) {
+    private void onListApplied(boolean all) {
+        boolean endpointsLeftOut = listReader != null && listReader.last().waits() > 0;
+        if (endpointsLeftOut) {
             logRefusedEndpoints();
         }
-        incomplete = left || incomplete && !all;
+        incomplete = endpointsLeftOut || incomplete && !all;
         completeVersion = incomplete ? Math.min(completeVersion, version) : version;
         scheduleRefetch();
     }
@@ -172,7 +178,8 @@
     }
 
     /**
-     * Of the list with which the process starts endpoints were left out: discovery is to tell them.
+     * Records that endpoints were left out of the list with which the process started, so that they
+     * are requested from discovery.
      */
     public void onCachedListIncomplete() {
         logRefusedEndpoints();
@@ -181,7 +188,10 @@
         scheduleRefetch();
     }
 
-    /** Not at once: this avoids calls without end for a list that still does not fit. */
+    /**
+     * Schedules another fetch of the whole list if it is incomplete. The delay prevents a loop of
+     * calls for a list that still does not fit.
+     */
     private void scheduleRefetch() {
         if (incomplete && !refetchScheduled) {
             refetchScheduled = true;
@@ -197,19 +207,20 @@
         }
     }
 
-    /** The calls that are out for the watch, or for one whole list. */
+    /** The calls in flight for the watch, or for one whole list. */
     private final class DiscoveryRequests implements DiscoveryPollSchedule.Actions {
         private final boolean isWatch;
         private final DiscoveryPollSchedule schedule;
         private final Map<Integer, DiscoveryCall> calls = new HashMap<>();
         private TimerService.Timer timer;
 
-        /** A connection without a call yet; null: none. */
+        /** A spare connection without a call; null if there is none. */
         private DiscoveryCall spareCall;
 
-        DiscoveryRequests(boolean isWatch, long longest) {
+        DiscoveryRequests(boolean isWatch, long maxBackoffNanos) {
             this.isWatch = isWatch;
-            this.schedule = new DiscoveryPollSchedule(isWatch, longest, timeouts, random, this);
+            this.schedule =
+                    new DiscoveryPollSchedule(isWatch, maxBackoffNanos, timeouts, random, this);
         }
 
         @Override
@@ -251,7 +262,8 @@
         }
 
         /**
-         * Reads first: this avoids a loop that was late taking for silent what has come meanwhile.
+         * Schedules the timer in two steps, so that pending input is read first: a late event loop
+         * would otherwise count a call as silent whose response has been received and not read.
          */
         @Override
         public void scheduleTimer(long at) {
@@ -272,12 +284,12 @@
         public void onUnavailable() {
             if (isWatch || !watch.schedule.isActive()) {
                 unavailableListener
-                        .run(); // else the watch stands, and tells what the call would have
+                        .run(); // // otherwise the watch is established and reports any changes
             }
         }
     }
 
-    /** One call to discovery, on a connection of its own. It fails once at most. */
+    /** A call to discovery, on a connection of its own. It reports at most one failure. */
     private final class DiscoveryCall extends SimpleChannelInboundHandler<ByteBuf>
             implements ObjectStream.Events {
         private final DiscoveryRequests requests;
@@ -286,8 +298,8 @@
         private final InetSocketAddress peerAddress = address;
         private final long connectStartedAt = loop.now();
 
-        /** The clock's; 0 for a spare connection. */
-        private int number;
+        /** The number of the call in the schedule; 0 for a spare connection. */
+        private int callNumber;
 
         private String target;
         private long requestedSince;
@@ -300,23 +312,26 @@
             this.requests = requests;
         }
 
-        /** Whether a new call can go out on this connection now, or as soon as on a new one. */
+        /**
+         * Returns whether a new call could be sent on this connection at least as soon as on a new
+         * one.
+         */
         boolean isUsable() {
             return !closed
                     && peerAddress.equals(address)
                     && (connected || loop.now() - connectStartedAt < CONNECT_GRACE_NANOS);
         }
 
-        void start(int call, String what) {
-            number = call;
-            target = what;
+        void start(int call, String requestTarget) {
+            callNumber = call;
+            target = requestTarget;
             requestedSince = completeVersion;
             send();
         }
 
         private void send() {
             if (connected && target != null) {
-                requests.schedule.onConnected(number);
+                requests.schedule.onConnected(callNumber);
                 channel.writeAndFlush(
                         HttpEncoder.get(
                                 loop.buffers(),
@@ -328,7 +343,7 @@
         }
 
         void connect() {
-            // As patient as the call itself: a connection may come up late.
+            // // The connect timeout equals that of the call: a connection may be established late.
             Bootstrap own =
                     bootstrap
                             .clone()
@@ -346,7 +361,7 @@
                             connected = true;
                             send();
                         } else {
-                            fail("can't connect");
+                            fail("failed to connect");
                         }
                     });
         }
@@ -362,7 +377,7 @@
                 return;
             }
             if (target == null) {
-                fail("answered before it was asked");
+                fail("response received before the request was sent");
                 return;
             }
             try {
@@ -382,7 +397,9 @@
             }
         }
 
-        /** Whether what comes is no list. */
+        /**
+         * Returns whether the response has a status other than 200, so that its body is not a list.
+         */
         private boolean hasErrorStatus() {
             return decoder.head() != null && decoder.head().status() != 200;
         }
@@ -390,52 +407,55 @@
         @Override
         public void begun() {
             if (!closed && !hasErrorStatus()) {
-                requests.schedule.onObjectStarted(loop.now(), number);
+                requests.schedule.onObjectStarted(loop.now(), callNumber);
             }
         }
 
-        /** An empty line only says that the watch is alive. */
+        /** An empty line is a heartbeat of the watch. */
         @Override
         public void line() {
             if (!closed && requests.isWatch && !hasErrorStatus()) {
-                requests.schedule.onHeartbeat(loop.now(), number);
+                requests.schedule.onHeartbeat(loop.now(), callNumber);
             }
         }
 
-        /** One object of the answer. */
+        /** Handles one object of the response. */
         @Override
         public void object(String text) {
             if (closed || hasErrorStatus()) {
                 return;
             }
             boolean first = !answered;
-            EndpointList result = take(text);
+            EndpointList result = applyUpdate(text);
             if (result != null) {
                 if (listReader != null && listReader.roomier()) {
-                    take(text); // what has left made room for more of it
+                    applyUpdate(
+                            text); // // endpoints that were removed have freed capacity for others
                 }
-                onListTaken(result.full() || first && requestedSince <= completeVersion);
+                onListApplied(result.full() || first && requestedSince <= completeVersion);
             }
         }
 
-        /** Reads and passes on; null: it tells nothing new. */
-        private EndpointList take(String text) {
+        /**
+         * Parses an update and passes it to the listener; returns null if it contains nothing new.
+         */
+        private EndpointList applyUpdate(String text) {
             JsonObject message =
                     listReader == null ? JsonObject.parse(text) : listReader.read(text);
             boolean outdated =
                     message.integer("version") < version
                             && !(requests.isWatch && message.flag("full", false));
             if (outdated && !requests.isWatch) {
-                // This avoids a late answer taking back what the watch has reported since.
-                fail("older than what is known");
+                // // A late response must not undo changes that the watch has reported since.
+                fail("list is older than the known version");
                 return null;
             }
-            // Not read: this avoids what is outdated undoing what is known of endpoints.
+            // // An outdated update is not parsed: it would undo what is known of endpoints.
             EndpointList result = outdated ? null : parser.read(message);
             answered = true;
-            requests.schedule.onUpdate(loop.now(), number);
+            requests.schedule.onUpdate(loop.now(), callNumber);
             if (outdated) {
-                return null; // a change that the watch at the former address has reported already
+                return null; // // a change that the watch at the old address has reported already
             }
             version = result.version();
             loop.log()
@@ -459,14 +479,14 @@
 
         private void fail(String why) {
             if (target == null) {
-                close(); // it was a spare one: nothing that was asked has failed
+                close(); // // a spare connection: no request has failed
             } else if (!closed) {
-                if (!loop.isStopping()) { // else a start that failed would tell of a second fault
+                if (!loop.isStopping()) { // // otherwise a failed start would log a second fault
                     logFailure(why);
                 }
                 close();
-                requests.calls.remove(number);
-                requests.schedule.onCallFailed(loop.now(), number);
+                requests.calls.remove(callNumber);
+                requests.schedule.onCallFailed(loop.now(), callNumber);
             }
         }
 
@@ -479,7 +499,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            fail("connection ended");
+            fail("connection closed");
         }
 
         @Override
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
@@ -15,20 +15,20 @@
 import java.io.IOException;
 
 /**
- * One connection to an endpoint; it carries one call at a time. Its life is the table of {@link
- * EndpointConnectionState}.
+ * A connection to an endpoint, which carries one call at a time. Its states and transitions are
+ * defined by {@link EndpointConnectionState}.
  */
 final class EndpointConnection extends SimpleChannelInboundHandler<ByteBuf> {
 
-    /** An answer that is streamed, and of which nothing comes for this long, has been given up. */
+    /** The time after which a streamed response of which nothing is received has failed. */
     private static final long STREAM_SILENCE_NANOS = 10_000_000_000L;
 
     /**
-     * A body of which the endpoint takes nothing for this long has been given up. At 64 kB a
-     * second, the slowest that occurs, a socket's buffer of 4 MB has room again after some 21 s:
-     * the kernel tells at a third.
+     * The time after which an upload has failed if the endpoint accepts none of its bytes. At 64 kB
+     * a second, the slowest rate that occurs, a socket's buffer of 4 MB has capacity again after
+     * some 21 s: the kernel reports it as writable when a third is free.
      */
-    private static final long UPLOAD_STUCK_NANOS = 30_000_000_000L;
+    private static final long UPLOAD_STALL_NANOS = 30_000_000_000L;
 
     private final EndpointConnectionPool pool;
     private final ProxyEventLoop loop;
@@ -38,19 +38,19 @@
     private final EndpointConnectionState state = new EndpointConnectionState();
     private EndpointSocket channel;
 
-    /** What it carries; null where nothing. */
+    /** The call in flight; null if there is none. */
     private EndpointCall call;
 
-    /** The answer that is being streamed; null where none is. */
+    /** The response body that is being streamed; null if there is none. */
     private BodyFlow download;
 
-    /** The body that is being streamed; null where none is. */
+    /** The request body that is being streamed; null if there is none. */
     private BodyWriter upload;
 
     private TimerService.Timer uploadTimer;
     private TimerService.Timer answerTimer;
 
-    /** Bytes of an answer that is being collected, as charged to the account. */
+    /** The bytes of the response that is being read that are charged to the account. */
     private int collected;
 
     private long lastReceivedAt;
@@ -67,7 +67,7 @@
                         false, limits.maxHeadBytes(), limits.maxBodyBytes(), BodyFlow.WINDOW);
     }
 
-    // ---- its state
+    // // ---- state
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
@@ -81,9 +81,10 @@
     }
 
     /**
-     * Changes its state; what is not legal is a fault of ours, and ends this connection alone.
+     * Changes the state. An illegal event is a fault of the proxy; it is logged and closes this
+     * connection only.
      *
-     * @return whether it was legal
+     * @return whether the event was legal
      */
     private boolean on(Event event) {
         boolean legal = state.on(event);
@@ -103,33 +104,37 @@
         return state.is(State.ENDED);
     }
 
-    /** Since when it has been idle, by the loop's clock. */
+    /** Returns the instant since which the connection has been idle, by the event loop's clock. */
     long idleSince() {
         return idleSince;
     }
 
     /**
-     * Whether a request may go out on it now, as it is idle. Not on one to what the endpoint was
-     * before its last start, which may stand and be silent where the machine had vanished; and not
-     * on one that its endpoint may close, since the pool is looked over only now and then.
+     * Returns whether a request may be sent on this idle connection now. It may not be sent on a
+     * connection to an earlier incarnation of the endpoint, which may be open and silent because
+     * the machine vanished; nor on one that the endpoint may be about to close, since the pool is
+     * swept only at intervals.
      */
     boolean isReusable() {
         boolean sinceStart = endpoint.startedAt() == 0 || connectedAt - endpoint.startedAt() >= 0;
         return sinceStart && loop.now() - idleSince <= pool.idleLimitNanos() && channel.isQuiet();
     }
 
-    // ---- requests
+    // // ---- requests
 
-    /** It is connected, for this call; for its endpoint, too, it has been idle from here on. */
+    /**
+     * Records that the connection is established, and sends its first call. The endpoint counts the
+     * connection as idle from this instant.
+     */
     void onConnected(EndpointCall first) {
         connectedAt = loop.now();
         idleSince = connectedAt;
         on(Event.CONNECTED);
-        carry(first);
+        send(first);
     }
 
-    /** Sends a call. */
-    void carry(EndpointCall next) {
+    /** Sends a call on this connection. */
+    void send(EndpointCall next) {
         if (!next.mayStart()) {
             becomeIdle();
             return;
@@ -153,7 +158,7 @@
         }
     }
 
-    /** Encodes a request; where that can't be done the call ends at once, and null is returned. */
+    /** Encodes a request. If that fails, ends the call at once and returns null. */
     private ByteBuf encode(EndpointCall next) {
         try {
             return next.encode();
@@ -176,7 +181,7 @@
         }
     }
 
-    /** Writes the rest of a request whose body is streamed. */
+    /** Streams the rest of a request whose body is not buffered. */
     private void startUpload(EndpointCall next) {
         BodyRemainder rest = next.rest();
         upload =
@@ -194,7 +199,7 @@
                             }
 
                             @Override
-                            public void broke() {
+                            public void onBodyFailed() {
                                 endUpload();
                                 fail();
                             }
@@ -209,19 +214,19 @@
     }
 
     /**
-     * Ends an upload of which the endpoint takes nothing: such a body has no deadline yet, and what
-     * its client does is not seen while it is not read.
+     * Schedules a check that ends an upload of which the endpoint accepts nothing: the request has
+     * no deadline yet, and a disconnect of the client is not detected while its input is not read.
      */
     private void watchUpload(BodyWriter watched) {
         uploadTimer =
                 loop.at(
-                        loop.now() + UPLOAD_STUCK_NANOS / 4,
+                        loop.now() + UPLOAD_STALL_NANOS / 4,
                         () -> {
                             if (upload != watched) {
                                 return;
                             }
-                            if (watched.stuck(UPLOAD_STUCK_NANOS)) {
-                                failMalformed("takes nothing of a body");
+                            if (watched.isStuck(UPLOAD_STALL_NANOS)) {
+                                failMalformed("endpoint accepts no more of the request body");
                             } else {
                                 watchUpload(watched);
                             }
@@ -236,11 +241,11 @@
         context.fireChannelWritabilityChanged();
     }
 
-    // ---- answers
+    // // ---- responses
 
     /**
-     * An answer that can't be read ends here as a connection that broke: the request may have run.
-     * No part of such an answer is served, now or when the connection ends.
+     * Decodes received bytes. A malformed response counts as a failed connection, since the request
+     * may have run; no part of it is served, now or when the connection ends.
      */
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf in) {
@@ -248,7 +253,7 @@
             return;
         }
         if (state.is(State.IDLE)) {
-            close(); // bytes that nobody asked for, such as those behind the last answer
+            close(); // // unexpected bytes, such as those after the end of the last response
             return;
         }
         try {
@@ -283,17 +288,17 @@
         }
     }
 
-    /** Charges what is held of an answer that is being read to the account. */
+    /** Charges the buffered bytes of the response that is being read to the account. */
     private void chargeCollected() {
         int now = decoder.collected();
         pool.buffers().add(now - collected);
         collected = now;
     }
 
-    /** The answer is streamed from here on. */
+    /** Starts streaming the response. */
     private void startDownload() {
         if (state.is(State.SENDING)) {
-            failMalformed("an answer before the request");
+            failMalformed("response received before the request was sent");
             return;
         }
         if (!on(Event.STREAM_STARTED)) {
@@ -309,7 +314,7 @@
 
     private void continueDownload(BodyFlow flow) {
         if (download == flow && !flow.isFull()) {
-            lastReceivedAt = loop.now(); // silence counts from where the endpoint may go on
+            lastReceivedAt = loop.now(); // // silence counts from when reading resumes
             channel.config().setAutoRead(true);
         }
     }
@@ -318,7 +323,7 @@
         answerTimer = loop.at(loop.now() + limits.responseTimeout(), this::checkAnswer);
     }
 
-    /** An answer has begun some time ago and is not complete. */
+    /** Checks a response that has begun some time ago and is not complete. */
     private void checkAnswer() {
         answerTimer = null;
         long silence = loop.now() - lastReceivedAt;
@@ -326,7 +331,7 @@
                 download != null && !download.isFull() && silence >= STREAM_SILENCE_NANOS;
         boolean silentAnswer = download == null && silence >= limits.responseTimeout();
         if (silentStream || silentAnswer) {
-            failMalformed("an answer without an end");
+            failMalformed("response is incomplete and no more of it is received");
             return;
         }
         if (download == null && decoder.head() != null && call.mayStream(decoder.head())) {
@@ -344,11 +349,11 @@
         }
     }
 
-    /** An answer is complete. */
+    /** Completes the call with its response. */
     private void finish(HttpMessage answer, boolean reusable) {
         cancelAnswerCheck();
         if (state.is(State.SENDING)) {
-            failMalformed("an answer before the request");
+            failMalformed("response received before the request was sent");
             return;
         }
         if (!on(Event.ANSWER_COMPLETE)) {
@@ -371,9 +376,12 @@
         done.answered(answer);
     }
 
-    // ---- its end
+    // // ---- end
 
-    /** Goes to the pool, where its endpoint is still listed; it keeps since when it is idle. */
+    /**
+     * Returns the connection to the pool if its endpoint is still listed; the instant since which
+     * it is idle is not changed.
+     */
     private void becomeIdle() {
         if (endpoint.isRemoved()) {
             close();
@@ -391,7 +399,10 @@
         fail();
     }
 
-    /** Closes, and reports the end of its call: nothing more may come of a closed channel. */
+    /**
+     * Closes the connection, then reports the failure of its call: a closed channel delivers no
+     * more events.
+     */
     private void fail() {
         close();
         EndpointCall broken = call;
@@ -402,9 +413,9 @@
     }
 
     /**
-     * Leaves the pool at once, and closes. What still comes is not read, and bytes that are there
-     * unread make it a reset. Of a call in flight, that is how its endpoint learns that nobody
-     * waits; of an idle one nothing is owed either way.
+     * Removes the connection from the pool at once and closes it. Unread bytes make the close a
+     * reset. If a call is in flight, that is how its endpoint detects that the response is no
+     * longer needed; an idle connection has no response outstanding.
      */
     void close() {
         on(Event.ENDED);
@@ -441,6 +452,7 @@
                     .with("endpoint", endpoint.address())
                     .write();
         }
-        fail(); // before the channel ends: what came of an answer until then is not complete
+        fail(); // // before the channel is inactive: the part of a response that was received is
+        // not complete
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
@@ -24,22 +24,23 @@
 import java.util.Set;
 
 /**
- * The client side: the pool of connections to endpoints, and the attempts and probes on them. It
- * belongs to the event loop.
+ * The client side of the proxy: the pool of connections to endpoints, and the attempts and probes
+ * in flight on them. Used on the event loop only.
  */
 public final class EndpointConnectionPool implements AttemptTransport<HttpMessage, HttpMessage> {
 
-    /** How often idle connections are looked over. */
+    /** The interval between two sweeps over idle connections. */
     private static final long SWEEP_NANOS = 1_000_000_000L;
 
     /**
-     * Idle connections leave at this share of the idle limit: endpoints may close a little early.
+     * The fraction of the idle limit after which idle connections are closed: endpoints may close
+     * them a little early.
      */
-    private static final double IDLE_LIMIT_SHARE = 0.8;
+    private static final double IDLE_LIMIT_FRACTION = 0.8;
 
     /**
-     * Bytes that one read takes at most: a piece of a body that is streamed. Many slow clients hold
-     * one each.
+     * The maximum number of bytes of one read, which is also the size of a piece of a streamed
+     * body. One such piece may be buffered for each of many slow clients.
      */
     private static final int MAX_READ_BYTES = 16 * 1024;
 
@@ -48,10 +49,10 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * A connection is up within this share of the drain grace, or not at all: an attempt may not be
-     * written when that is over, since its connection took so long.
+     * The connect timeout is at most this fraction of the drain grace: an attempt must not be
+     * written after the grace because its connection was slow to establish.
      */
-    private static final double CONNECT_GRACE_SHARE = 0.5;
+    private static final double CONNECT_GRACE_FRACTION = 0.5;
 
     private final ProxyEventLoop loop;
     private final RequestForwarder<HttpMessage, HttpMessage> forwarder;
@@ -69,10 +70,10 @@
     private int open;
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
-     * @param bounds how many connections there may be
-     * @param metrics where attempts are counted
+     * @param bounds the bounds on the number of connections
+     * @param metrics counts the attempts
      * @param buffers the account of all buffered bytes
      */
     public EndpointConnectionPool(
@@ -91,7 +92,7 @@
         this.metrics = metrics;
         this.buffers = buffers;
         long idle = site.module().limits().connectionIdleNanos();
-        this.idleLimitNanos = idle == 0 ? Long.MAX_VALUE : (long) (idle * IDLE_LIMIT_SHARE);
+        this.idleLimitNanos = idle == 0 ? Long.MAX_VALUE : (long) (idle * IDLE_LIMIT_FRACTION);
         this.bootstrap = bootstrap(connectTimeoutNanos(site.module()));
         sweepTimer = loop.at(loop.now() + SWEEP_NANOS, this::sweep);
     }
@@ -117,12 +118,12 @@
         long grace = settings.safety().drainGraceNanos();
         return Math.min(
                 set == 0 ? DEFAULT_CONNECT_TIMEOUT_NANOS : set,
-                grace == 0 ? Long.MAX_VALUE : (long) (grace * CONNECT_GRACE_SHARE));
+                grace == 0 ? Long.MAX_VALUE : (long) (grace * CONNECT_GRACE_FRACTION));
     }
 
     /**
-     * From now on these limits count; connections that are open keep their bounds on bytes. Where
-     * fewer connections may be there than are, idle ones are closed.
+     * Sets the limits that apply from now on. Open connections keep their limits on bytes. If there
+     * are more connections than the new bound, idle ones are closed.
      */
     public void apply(EndpointLimits next, EndpointLimits.Bounds nextBounds) {
         limits = next;
@@ -132,17 +133,18 @@
         }
     }
 
-    /** Closes what is idle; attempts in flight end by themselves. */
+    /** Closes the idle connections; attempts in flight end by themselves. */
     public void close() {
         sweepTimer.cancel();
         endpoints.values().forEach(UpstreamEndpoint::remove);
     }
 
-    // ---- endpoints
+    // // ---- endpoints
 
     /**
-     * Takes where endpoints are. One that is removed, or has another address, is forgotten with its
-     * connections: none of them may be used for the endpoint that took over its address.
+     * Applies an endpoint list. An endpoint that is removed, or has another address, is removed
+     * with its connections: none of them may be used for another endpoint that now has its former
+     * address.
      */
     public void onEndpoints(EndpointList list) {
         Set<Long> listed = new HashSet<>();
@@ -179,27 +181,29 @@
         return endpoints.containsKey(endpoint);
     }
 
-    /** Whether the last attempts at an endpoint all failed, without an answer between them. */
+    /**
+     * Returns whether the last attempts at an endpoint all failed, without a response between them.
+     */
     public boolean isFailing(long endpoint) {
         UpstreamEndpoint known = endpoints.get(endpoint);
         return known != null && known.isFailing();
     }
 
-    /** Attempts in flight, and answers that are streamed, by endpoint. */
+    /** Returns the number of attempts in flight, including streamed responses, by endpoint. */
     public Map<Long, Integer> attemptsInFlight() {
         Map<Long, Integer> inFlight = new HashMap<>();
         attempts.keySet().forEach(attempt -> inFlight.merge(attempt.endpoint(), 1, Integer::sum));
         return inFlight;
     }
 
-    // ---- attempts and probes
+    // // ---- attempts and probes
 
     @Override
     public void startAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
         UpstreamEndpoint endpoint = endpoints.get(attempt.endpoint());
         EndpointCall call = new AttemptCall(this, attempt, endpoint);
         attempts.put(attempt, call);
-        carry(endpoint, call);
+        send(endpoint, call);
     }
 
     @Override
@@ -213,28 +217,28 @@
     @Override
     public void sendProbe(long endpointId) {
         UpstreamEndpoint endpoint = endpoints.get(endpointId);
-        carry(endpoint, new ProbeCall(this, endpointId, endpoint));
+        send(endpoint, new ProbeCall(this, endpointId, endpoint));
     }
 
-    /** An attempt has ended. */
-    void forget(RequestAttempt<HttpMessage, HttpMessage> attempt) {
+    /** Removes an attempt that has ended. */
+    void onAttemptEnded(RequestAttempt<HttpMessage, HttpMessage> attempt) {
         attempts.remove(attempt);
     }
 
     /** Sends a call on the idle connection that was used last, or on a new one. */
-    private void carry(UpstreamEndpoint endpoint, EndpointCall call) {
+    private void send(UpstreamEndpoint endpoint, EndpointCall call) {
         for (EndpointConnection idle = endpoint.takeIdle();
                 idle != null;
                 idle = endpoint.takeIdle()) {
             if (idle.isReusable()) {
-                idle.carry(call);
+                idle.send(call);
                 return;
             }
             idle.close();
         }
         boolean evicted = open >= bounds.maxIdle() && closeOldestIdle();
         if (open >= bounds.max() && !evicted) {
-            call.notStarted(); // operators and discovery need the descriptors that are left
+            call.notStarted(); // // operators and discovery need the remaining descriptors
             return;
         }
         connect(endpoint, call);
@@ -253,13 +257,13 @@
         if (done.isSuccess()) {
             connection.onConnected(call);
         } else if (done.cause() instanceof ChannelException) {
-            call.notStarted(); // there is no descriptor for it
+            call.notStarted(); // // no descriptor is available
         } else {
             call.connectionFailed();
         }
     }
 
-    // ---- idle connections
+    // // ---- idle connections
 
     @Override
     public void closeIdleConnections(long endpoint) {
@@ -269,7 +273,7 @@
         }
     }
 
-    /** Closes the connection that has been idle longest; false where none is idle. */
+    /** Closes the connection that has been idle longest; returns false if none is idle. */
     private boolean closeOldestIdle() {
         EndpointConnection oldest = null;
         for (UpstreamEndpoint endpoint : endpoints.values()) {
@@ -296,9 +300,9 @@
         }
     }
 
-    // ---- what calls and connections use
+    // // ---- state that calls and connections use
 
-    /** How many connections there are. */
+    /** Returns the number of connections. */
     public int open() {
         return open;
     }
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnectionState.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionState.java
@@ -14,45 +14,48 @@
 import java.util.Map;
 
 /**
- * Where a connection to an endpoint is in its life. It knows no sockets and no clock; {@link
- * #TRANSITIONS} is all that may happen. So no request goes out on a connection that still carries
- * one, and no answer is taken for that of another request.
+ * The state of a connection to an endpoint, without sockets or a clock; {@link #TRANSITIONS} lists
+ * all legal transitions. They ensure that no request is sent on a connection that still carries
+ * another one, and that no response is assigned to another request.
  */
 final class EndpointConnectionState {
 
-    /** The states. */
+    /** The states of a connection. */
     enum State {
-        /** It is not up. */
+        /** The connection is not established yet. */
         CONNECTING,
-        /** It is up, and carries nothing. */
+        /** The connection is established and carries no call. */
         IDLE,
-        /** A request goes out on it; no answer may come yet. */
+        /** A request is being written; no response may be received yet. */
         SENDING,
-        /** The request is written, and its answer awaited or read. */
+        /** The request is written, and its response is awaited or read. */
         AWAITING_ANSWER,
-        /** The answer is streamed to the client. */
+        /** The response is streamed to the client. */
         STREAMING,
-        /** It is closed, or about to be: nothing is read of it any more. */
+        /** The connection is closed, or about to be: no more of its input is read. */
         ENDED
     }
 
-    /** What changes the state. */
+    /** The events that change the state. */
     enum Event {
-        /** The connection is up. */
+        /** The connection is established. */
         CONNECTED,
-        /** The first byte of a request is about to go out. */
+        /** The first byte of a request is about to be written. */
         REQUEST_STARTED,
-        /** The last byte of the request is out. */
+        /** The last byte of the request is written. */
         REQUEST_WRITTEN,
-        /** The answer has begun to be streamed to the client. */
+        /** The response has begun to be streamed to the client. */
         STREAM_STARTED,
-        /** The answer is complete. */
+        /** The response is complete. */
         ANSWER_COMPLETE,
-        /** Either side ends it, or it broke; may happen at any time, and again. */
+        /** Either side ends the connection, or it fails; may occur in any state, and repeatedly. */
         ENDED
     }
 
-    /** What may happen in each state but for {@link Event#ENDED}, and which state comes of it. */
+    /**
+     * The legal events of each state and the state that follows; {@link Event#ENDED} is legal in
+     * all states.
+     */
     static final Map<State, Map<Event, State>> TRANSITIONS =
             Map.of(
                     CONNECTING,
@@ -70,7 +73,10 @@
 
     private State state = CONNECTING;
 
-    /** Changes the state; false where that is not legal, and the connection is to be ended. */
+    /**
+     * Changes the state; returns false if the event is illegal, in which case the connection is to
+     * be closed.
+     */
     boolean on(Event event) {
         State next = event == Event.ENDED ? State.ENDED : TRANSITIONS.get(state).get(event);
         if (next == null) {
--- a/daemon/src/main/java/cedarrudder/transport/GracefulShutdown.java
+++ b/daemon/src/main/java/cedarrudder/transport/GracefulShutdown.java
@@ -1,48 +1,59 @@
 package cedarrudder.transport;
 
 /**
- * How clients are sent away: while operators have drained the proxy, when a successor listens at
- * the same address, and when the process ends. It belongs to the event loop.
+ * Disconnects clients gracefully: while operators have drained the proxy, when a successor listens
+ * at the same address, and when the process ends. Used on the event loop only.
  *
- * <p>After SIGTERM clients are served on for as long as SIGKILL leaves time. They use the
- * connections they have as long as these stay open, and where this proxy is the only one they find
- * no other until it is back. Idle connections are closed and responses say {@code Connection:
- * close} only shortly before the end; what is open then is cut off and answered.
+ * <p>After SIGTERM, clients are served for as long as the time until SIGKILL allows. They use their
+ * connections as long as these stay open, and if this proxy is the only one, they find no other
+ * until it is back. Only shortly before the end are idle connections closed and do responses
+ * contain {@code Connection: close}; requests that are open then are ended and answered.
  */
 final class GracefulShutdown {
 
-    /** After SIGTERM connections still come for up to 0.4 s; they are accepted for this long. */
+    /**
+     * The time for which connections are accepted after SIGTERM; new ones still arrive for up to
+     * 0.4 s.
+     */
     private static final long ACCEPT_NANOS = 600_000_000L;
 
     /**
-     * SIGKILL follows SIGTERM no sooner than the longest wait of a client (3 s where it is longer)
-     * and 0.7 s. What is taken after SIGTERM is answered a little before that.
+     * SIGKILL follows SIGTERM no sooner than the longest wait of a client (3 s if that is longer)
+     * plus 0.7 s. Requests accepted after SIGTERM are answered a little before that.
      */
     private static final long MAX_WAIT_NANOS = 3_000_000_000L;
 
     private static final long ANSWER_AFTER_WAIT_NANOS = 500_000_000L;
 
     /**
-     * A shutdown that is not over this long after its last responses were due is stuck. Longer than
-     * any loop is late, so that the process does not end over responses it is about to give.
+     * The time after the last responses were due at which a shutdown is considered stuck. Longer
+     * than any delay of the event loop, so that the process does not end while responses are about
+     * to be sent.
      */
     private static final long STUCK_AFTER_NANOS = 3_000_000_000L;
 
-    /** Connections are closed for this long before the last responses; most requests need less. */
+    /**
+     * The time before the last responses during which connections are closed; most requests need
+     * less.
+     */
     private static final long CLOSING_NANOS = 400_000_000L;
 
-    /** Cut off this long before, what is left is closed: half written responses, late ends. */
+    /**
+     * The time from the end of the open requests to the close of the remaining connections, such as
+     * those with partly written responses.
+     */
     private static final long LAST_CLOSE_NANOS = 100_000_000L;
 
     /**
-     * How clients are sent away while operators drain the proxy, counted from then: the front still
-     * brings new ones until the first, and no connection is left idle from the second on.
+     * While operators drain the proxy: the times from the begin of the drain at which idle
+     * connections begin to be closed, and by which none is left idle. Until the first, the load
+     * balancer in front still sends new clients.
      */
     private static final long DRAIN_FROM_NANOS = 500_000_000L;
 
     private static final long DRAIN_BY_NANOS = 1_800_000_000L;
 
-    /** The same, after SIGTERM, where a successor listens at the address. */
+    /** The same times for a handover, counted from SIGTERM. */
     private static final long HANDOVER_FROM_NANOS = 300_000_000L;
 
     private static final long HANDOVER_BY_NANOS = 1_500_000_000L;
@@ -60,18 +71,20 @@
     /** The instant by which this process has to answer; {@link #NEVER} while it serves. */
     private long answerBy = NEVER;
 
-    /** Whether connections may still come in: the socket is open, or is being emptied. */
+    /**
+     * Whether connections may still be accepted: the socket is open, or its queue is being emptied.
+     */
     private boolean acceptPending;
 
-    /** Whether each response is the last of its connection, and idle ones are closed. */
+    /** Whether each response is the last of its connection, and idle connections are closed. */
     private boolean closing;
 
     private Runnable whenEmpty;
 
     /**
-     * A server that serves.
+     * Creates the shutdown of a server that serves.
      *
-     * @param sweepNanos how often {@link #sweep} is called
+     * @param sweepNanos the interval at which {@link #sweep} is called
      */
     GracefulShutdown(ServerContext server, long sweepNanos) {
         this.server = server;
@@ -82,14 +95,14 @@
         connections = clientConnections;
     }
 
-    /** The server listens at this socket from now on. */
+    /** Sets the socket at which the server listens from now on. */
     void setListening(HandoverSocket socket) {
         listening = socket;
     }
 
-    // ---- drained by operators
+    // // ---- drain by operators
 
-    /** Operators send clients away; without effect where they do already. */
+    /** Starts a drain on an operator's request; has no effect during a drain. */
     void drainByOperator() {
         if (!service.drained()) {
             service = service.after(ServiceState.Event.DRAIN);
@@ -98,7 +111,7 @@
         }
     }
 
-    /** Operators let clients come again. */
+    /** Ends a drain on an operator's request. */
     void resumeByOperator() {
         if (service.drained()) {
             service = service.after(ServiceState.Event.RESUME);
@@ -110,41 +123,47 @@
         return service.drained();
     }
 
-    /** Whether clients at this address are welcome. */
+    /** Returns whether new clients at this address are accepted. */
     boolean isHealthy() {
         return service.isHealthy();
     }
 
-    /** Whether this process goes on, for all that signals have said. */
+    /** Returns whether no signal to end has been received. */
     boolean isServing() {
         return service.isServing();
     }
 
-    /** Whether clients are being sent away one by one. */
-    private boolean isSendingAway() {
+    /** Returns whether clients are being disconnected one by one. */
+    private boolean isClosingGradually() {
         long now = server.loop().now();
         return service.drained() && now - drainedAt >= DRAIN_FROM_NANOS
                 || replacedAt != 0 && now - replacedAt >= HANDOVER_FROM_NANOS;
     }
 
-    // ---- what connections ask
+    // // ---- state that connections use
 
-    /** Whether a response is to be the last of its connection, but for requests behind it. */
+    /**
+     * Returns whether a response is to be the last of its connection, apart from pipelined
+     * requests.
+     */
     boolean endsConnections() {
-        return closing || replacedAt != 0 || isSendingAway();
+        return closing || replacedAt != 0 || isClosingGradually();
     }
 
-    /** Whether a connection on which nothing is open any more is closed at once. */
+    /** Returns whether a connection without an open request is to be closed at once. */
     boolean closesIdle() {
         return closing;
     }
 
-    /** The instant by which this process has to answer. */
+    /** Returns the instant by which this process has to answer. */
     long answerBy() {
         return answerBy;
     }
 
-    /** After this long, a shutdown in which nothing is streamed is stuck; from any thread. */
+    /**
+     * Returns the time, in nanoseconds, after which a shutdown during which nothing is streamed is
+     * considered stuck. May be called from any thread.
+     */
     long maxShutdownNanos() {
         return waitNanos() + STUCK_AFTER_NANOS;
     }
@@ -153,11 +172,11 @@
         return Math.min(MAX_WAIT_NANOS, server.headers().longestWait()) + ANSWER_AFTER_WAIT_NANOS;
     }
 
-    // ---- the end of the process
+    // // ---- end of the process
 
     /**
-     * Ends the service: for a while clients are served on, all that is taken is answered, and
-     * {@code whenDone} runs once no connection is left.
+     * Shuts the server down: clients are served for a while, all accepted requests are answered,
+     * and {@code whenDone} runs once no connection is left.
      */
     void shutDown(Runnable whenDone) {
         if (whenEmpty != null) {
@@ -180,9 +199,9 @@
     }
 
     /**
-     * Ends the service where a successor listens at the same address: connections that wait to be
-     * accepted are taken, then the socket is closed, and clients go over to the successor one by
-     * one. {@code whenDone} runs once no connection is left.
+     * Shuts the server down while a successor listens at the same address: connections that wait to
+     * be accepted are accepted, then the socket is closed, and clients are moved to the successor
+     * one by one. {@code whenDone} runs once no connection is left.
      */
     void handOver(Runnable whenDone) {
         if (whenEmpty != null) {
@@ -197,7 +216,7 @@
         server.loop().at(answerBy, this::cutOff);
     }
 
-    /** From now on each response is the last of its connection, and idle ones are closed. */
+    /** Makes each response the last of its connection, and closes idle connections. */
     private void startClosing() {
         closing = true;
         closeSocket();
@@ -208,7 +227,7 @@
     void sweep(long now) {
         if (closing) {
             connections.closeIdle(now);
-        } else if (isSendingAway()) {
+        } else if (isClosingGradually()) {
             long end =
                     replacedAt == 0 ? drainedAt + DRAIN_BY_NANOS : replacedAt + HANDOVER_BY_NANOS;
             connections.closeSomeIdle(now, Math.max(1, (end - now) / sweepNanos));
@@ -216,25 +235,31 @@
     }
 
     /**
-     * What is open has had its time: all get an answer while this process can still give one. Half
-     * a request is not waited for any more.
+     * Ends all open requests with a response while this process can still send one. Partial
+     * requests are no longer waited for.
      */
     private void cutOff() {
-        for (ClientConnection connection : connections.copy()) {
+        for (ClientConnection connection : connections.snapshot()) {
             connection.cutOff();
         }
         server.loop().at(server.loop().now() + LAST_CLOSE_NANOS, this::closeAll);
     }
 
-    /** Clients that don't read their responses hold the end of the process no longer. */
+    /**
+     * Closes all remaining connections, repeatedly: clients that don't read their responses must
+     * not delay the end of the process.
+     */
     private void closeAll() {
         server.loop().at(server.loop().now() + sweepNanos, this::closeAll);
-        for (ClientConnection connection : connections.copy()) {
-            connection.breakOff();
+        for (ClientConnection connection : connections.snapshot()) {
+            connection.abort();
         }
     }
 
-    /** Takes connections that wait and closes the socket; until then the service goes on. */
+    /**
+     * Accepts the waiting connections and closes the socket; the server counts as running until
+     * then.
+     */
     private void closeSocket() {
         if (listening.isOpen() && !acceptPending) {
             acceptPending = true;
@@ -242,13 +267,13 @@
         }
     }
 
-    /** Ends the service where no connection is left and none may come. */
+    /** Ends the shutdown if no connection is left and no further one can be accepted. */
     void endIfEmpty() {
         if (whenEmpty == null || acceptPending || connections.size() > 0) {
             return;
         }
         if (listening.isOpen()) {
-            closeSocket(); // connections that wait would be reset
+            closeSocket(); // // otherwise waiting connections would be reset
         } else {
             whenEmpty.run();
         }
--- a/daemon/src/main/java/cedarrudder/transport/HttpServer.java
+++ b/daemon/src/main/java/cedarrudder/transport/HttpServer.java
@@ -21,24 +21,27 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The server side: accepts clients, whose requests {@link ClientConnection} decodes and answers.
+ * The server side of the proxy: accepts client connections, whose requests {@link ClientConnection}
+ * decodes and answers.
  *
- * <p>All but {@link #listen} and {@link #maxShutdownNanos} is called on the event loop.
+ * <p>All methods are called on the event loop, except {@link #listen} and {@link
+ * #maxShutdownNanos}.
  */
 public final class HttpServer {
 
-    /** Lets several processes of one proxy listen at the same address. */
+    /** The socket option that lets several processes of one proxy listen at the same address. */
     static final ChannelOption<Boolean> REUSE_PORT =
             NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
     private static final int BACKLOG = 1024;
 
-    /** How often connections are looked over. */
+    /** The interval between two sweeps over the connections. */
     private static final long SWEEP_NANOS = 100_000_000L;
 
     /**
-     * Bytes read from one client before it is another's turn, in this many reads, so that a client
-     * that sends at full speed takes little of each turn of the loop.
+     * The maximum number of bytes of one read from a client. With {@link #READS_PER_TURN} it limits
+     * what is read from one client per turn of the event loop, so that a client that sends at full
+     * speed uses little of each turn.
      */
     private static final int MAX_READ_BYTES = 16 * 1024;
 
@@ -53,10 +56,10 @@
     private HandoverSocket listening;
 
     /**
-     * A server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param ready whether the proxy can serve, as its health check says
-     * @param maxClients how many connections there may be
+     * @param ready returns whether the proxy can serve, as reported by its health check
+     * @param maxClients the maximum number of connections
      * @param buffers the account of all buffered bytes
      */
     public HttpServer(
@@ -78,21 +81,24 @@
         shutdown.attach(connections);
     }
 
-    /** How many clients are connected. */
+    /** Returns the number of client connections. */
     public int clients() {
         return connections.size();
     }
 
     /**
-     * From now on these limits count; connections that are open keep their bounds on bytes. Where
-     * fewer clients may be there than are, those that wait for nothing are closed.
+     * Sets the limits that apply from now on. Open connections keep their limits on bytes. If there
+     * are more clients than the new maximum, connections without an open request are closed.
      */
     public void apply(ClientLimits limits, int maxClients) {
         context.setLimits(limits);
         connections.setMax(maxClients);
     }
 
-    /** Lets someone else answer requests, which the forwarder takes where this says false. */
+    /**
+     * Sets a predicate that may answer a request itself; if it returns false, the request goes to
+     * the forwarder.
+     */
     public void setInterceptor(
             BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>>
                     interceptor) {
@@ -100,12 +106,12 @@
     }
 
     /**
-     * Begins to listen at an address, in place of the one before; blocks until it does. Not on the
-     * loop.
+     * Listens at an address, in place of the previous one, and blocks until the socket is bound.
+     * Not called on the event loop.
      *
      * @param shared whether another process of this proxy may listen there too
-     * @return where it listens: what was asked for, with a port where that left it open
-     * @throws IOException where it can't listen there
+     * @return the address that is bound, with the actual port if none was given
+     * @throws IOException if it can't listen there
      */
     public InetSocketAddress listen(InetSocketAddress address, boolean shared)
             throws IOException, InterruptedException {
@@ -155,8 +161,8 @@
     }
 
     /**
-     * On the loop, before the first client comes: neither a client nor the shutdown may find the
-     * former socket, or none.
+     * Replaces the listening socket. Runs on the event loop before the first client is accepted, so
+     * that neither a client nor the shutdown uses the previous socket, or none.
      */
     private void onBound(ChannelFuture bound, CompletableFuture<InetSocketAddress> result) {
         if (!bound.isSuccess()) {
@@ -176,52 +182,57 @@
 
     private void sweep() {
         long now = loop.now();
-        loop.at(now + SWEEP_NANOS, this::sweep); // first, so that a fault below does not end it
+        loop.at(
+                now + SWEEP_NANOS,
+                this::sweep); // // first, so that an exception below does not end the sweeps
         connections.sweep(now);
         shutdown.sweep(now);
     }
 
-    /** Operators send clients away; without effect where they do already. */
+    /**
+     * Starts to drain the proxy on an operator's request: clients are disconnected one by one. Has
+     * no effect if the proxy is drained already.
+     */
     public void drainByOperator() {
         shutdown.drainByOperator();
     }
 
-    /** Operators let clients come again. */
+    /** Ends the drain on an operator's request: clients may connect again. */
     public void resumeByOperator() {
         shutdown.resumeByOperator();
     }
 
-    /** Whether operators send clients away. */
+    /** Returns whether operators have drained the proxy. */
     public boolean isDrained() {
         return shutdown.isDrained();
     }
 
-    /** Whether this process goes on, for all that signals have said. */
+    /** Returns whether no signal to end has been received. */
     public boolean isServing() {
         return shutdown.isServing();
     }
 
-    /** Whether a body is streamed, which has no bound in time. */
+    /** Returns whether a body is being streamed, which may take any time. */
     public boolean isStreaming() {
-        return connections.copy().stream().anyMatch(ClientConnection::isStreaming);
+        return connections.snapshot().stream().anyMatch(ClientConnection::isStreaming);
     }
 
     /**
-     * After this long, in nanoseconds, a shutdown over which nothing is streamed is stuck; from any
-     * thread.
+     * Returns the time, in nanoseconds, after which a shutdown during which nothing is streamed is
+     * considered stuck. May be called from any thread.
      */
     public long maxShutdownNanos() {
         return shutdown.maxShutdownNanos();
     }
 
-    /** Ends the service; {@code whenDone} runs once no connection is left. */
+    /** Shuts the server down; {@code whenDone} runs once no connection is left. */
     public void shutDown(Runnable whenDone) {
         shutdown.shutDown(whenDone);
     }
 
     /**
-     * Ends the service where a successor listens at the same address; {@code whenDone} runs once no
-     * connection is left.
+     * Shuts the server down while a successor listens at the same address; {@code whenDone} runs
+     * once no connection is left.
      */
     public void handOver(Runnable whenDone) {
         shutdown.handOver(whenDone);
--- a/daemon/src/main/java/cedarrudder/transport/ReadAheadBuffer.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReadAheadBuffer.java
@@ -8,25 +8,30 @@
 import java.util.function.LongSupplier;
 
 /**
- * Bytes of one connection that were received and wait to be decoded, with the time at which they
- * were received.
+ * The bytes of one connection that were received and wait to be decoded, with the times at which
+ * they were received.
  *
- * <p>What waits is kept on the heap and charged to the account of buffers: direct memory is scarce,
- * and a pooled buffer of 16 KiB may hold a few bytes only.
+ * <p>Waiting bytes are buffered on the heap and charged to the account of buffers: direct memory is
+ * scarce, and a pooled buffer of 16 KiB may contain a few bytes only.
  */
 final class ReadAheadBuffer {
 
-    /** Bytes that are received within this long count as received with the first of them. */
+    /**
+     * Bytes that are received within this time of the first bytes of an arrival belong to that
+     * arrival.
+     */
     private static final long SAME_ARRIVAL_NANOS = 10_000_000L;
 
-    /** Beyond this many arrivals all later bytes join the last one, so that memory is bounded. */
+    /**
+     * The maximum number of arrivals, which bounds memory; later bytes are added to the last one.
+     */
     private static final int MAX_ARRIVALS = 64;
 
     /**
      * Bytes that were received together.
      *
-     * @param endOffset how many bytes had been received with them, of all on their connection
-     * @param at when, by the loop's clock in nanoseconds
+     * @param endOffset the number of bytes received on the connection up to and including these
+     * @param at the instant of receipt, by the event loop's clock in nanoseconds
      */
     private record Arrival(long endOffset, long at) {}
 
@@ -37,33 +42,33 @@
     private int charged;
     private long received;
 
-    /** An empty buffer. */
+    /** Creates an empty buffer. */
     ReadAheadBuffer(BufferAccount account, LongSupplier clock) {
         this.account = account;
         this.clock = clock;
     }
 
-    /** How many bytes were received on the connection. */
+    /** Returns how many bytes were received on the connection. */
     long received() {
         return received;
     }
 
-    /** Whether bytes wait to be decoded. */
+    /** Returns whether bytes wait to be decoded. */
     boolean hasBytes() {
         return buffer != null && buffer.isReadable();
     }
 
-    /** How many bytes wait to be decoded. */
+    /** Returns how many bytes wait to be decoded. */
     int size() {
         return buffer == null ? 0 : buffer.readableBytes();
     }
 
-    /** The bytes that wait; the decoder reads them from here. */
+    /** Returns the waiting bytes, from which the decoder reads. */
     ByteBuf bytes() {
         return buffer;
     }
 
-    /** Notes that this many bytes were received, whether they are added or dropped. */
+    /** Records that this many bytes were received, whether they are added or dropped. */
     void onReceived(int bytes) {
         while (!arrivals.isEmpty() && arrivals.getFirst().endOffset() <= decoded()) {
             arrivals.removeFirst();
@@ -82,8 +87,8 @@
     }
 
     /**
-     * Adds bytes and takes over their buffer. They go to the end of the same buffer, since the
-     * decoder may be reading it.
+     * Adds bytes and takes ownership of their buffer. They are appended to the existing buffer,
+     * since the decoder may be reading it.
      */
     void add(ByteBuf bytes) {
         if (buffer == null) {
@@ -102,8 +107,8 @@
     }
 
     /**
-     * When the last byte that was decoded had been received. The time of a request that waited
-     * behind another one starts then.
+     * Returns when the last decoded byte was received. The timeout of a request that waited behind
+     * another one starts at this instant.
      */
     long lastDecodedAt() {
         while (arrivals.getFirst().endOffset() < decoded()) {
@@ -112,8 +117,8 @@
         return arrivals.getFirst().at();
     }
 
-    /** Moves what waits to the heap and charges it to the account. */
-    void retain() {
+    /** Moves the waiting bytes to the heap and charges them to the account. */
+    void moveToHeap() {
         if (buffer != null && buffer.isDirect()) {
             ByteBuf copy = Unpooled.buffer(buffer.readableBytes()).writeBytes(buffer);
             buffer.release();
@@ -124,12 +129,12 @@
         charged = held;
     }
 
-    /** Drops what waits. */
+    /** Drops the waiting bytes. */
     void clear() {
         if (buffer != null) {
             buffer.release();
             buffer = null;
         }
-        retain();
+        moveToHeap();
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/RequestReader.java
+++ b/daemon/src/main/java/cedarrudder/transport/RequestReader.java
@@ -12,34 +12,42 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 
 /**
- * Reads the requests of one client connection: one at a time is taken, the bytes of later ones
- * wait. It bounds what it reads ahead, and knows whether the end of the client would be seen.
+ * Reads the requests of one client connection. One request is processed at a time; the bytes of
+ * pipelined requests are buffered up to a limit. It also determines whether a disconnect of the
+ * client would be detected.
  */
 final class RequestReader {
 
     /**
-     * Bytes of a client behind its open request that are read and kept, charged to the account of
-     * buffers; what one turn of the loop reads may come on top. The end of a client that has left
-     * stands behind what it sent, so without this its request would still be forwarded. Beyond it,
-     * or with the account used up, reading stops: the client's end is then seen no sooner than its
-     * response is out, and no attempt starts after {@link #UNSEEN_NANOS}.
+     * The maximum number of bytes that are read ahead of the open request, charged to the account
+     * of buffers; the bytes of one read may exceed it. The client's end of stream follows the bytes
+     * that it has sent, so without reading ahead the request of a client that has disconnected
+     * would still be forwarded. Reading stops beyond this limit, or when the account is exhausted:
+     * a disconnect is then detected only after the response is written, and no attempt starts after
+     * {@link #MAX_UNREAD_NANOS}.
      */
     private static final int MAX_READ_AHEAD_BYTES = 32 * 1024;
 
     /**
-     * Once what a client sends has not been read for this long, for want of buffers, it may have
-     * left unseen. Half of what an attempt may start late behind its client's end: the end may have
-     * stood there before reading stopped, for as long as a loop is late.
+     * The time after which a client whose input is not read, for lack of buffers, may have
+     * disconnected undetected. Half of the time within which an attempt may still start after its
+     * client's end of stream: the end of stream may have been received before reading stopped, by
+     * as much as the loop is late.
      */
-    private static final long UNSEEN_NANOS = 50_000_000L;
+    private static final long MAX_UNREAD_NANOS = 50_000_000L;
 
-    /** One look at a socket reads so often at most, also one that is sent to at full speed. */
-    private static final int MAX_READS_PER_LOOK = 8;
+    /**
+     * The maximum number of reads in one check of a socket, even if its client sends at full speed.
+     */
+    private static final int MAX_READS_PER_CHECK = 8;
 
-    /** A client that sends nothing more of a body for this long, though it could, has given up. */
+    /**
+     * The time after which a client that sends no more of a body, although it could, is considered
+     * gone.
+     */
     private static final long UPLOAD_SILENCE_NANOS = 5_000_000_000L;
 
-    /** A body that is streamed may take this long: 32 MB at 64 kB a second take 500 s. */
+    /** The maximum duration of an upload: 32 MB at 64 kB a second take 500 s. */
     private static final long MAX_UPLOAD_NANOS = 600_000_000_000L;
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -52,15 +60,15 @@
     private final ReadAheadBuffer buffer;
     private final BufferAccount account;
 
-    /** The body that is being streamed; null where none is. */
+    /** The request body that is being streamed; null if there is none. */
     private BodyFlow upload;
 
     private boolean decoding;
 
-    /** Bytes of a request that is being collected, as charged to the account. */
+    /** The bytes of the request that is being read that are charged to the account. */
     private int collected;
 
-    /** Since when there may be bytes of the client, or its end, that are not read. */
+    /** The instant since which bytes or the end of stream of the client may be unread. */
     private long unreadSince = NEVER;
 
     RequestReader(
@@ -80,13 +88,13 @@
         this.buffer = new ReadAheadBuffer(account, server.loop()::now);
     }
 
-    // ---- what is received
+    // // ---- receiving
 
-    /** Takes bytes that were read, which it releases. */
+    /** Processes bytes that were read from the channel, and releases them. */
     void receive(ByteBuf bytes) {
         buffer.onReceived(bytes.readableBytes());
         if (bytes.isWritable()) {
-            unreadSince = NEVER; // the socket had no more
+            unreadSince = NEVER; // // the socket had no more
         }
         if (dropsInput()) {
             connection.drop(bytes);
@@ -97,25 +105,25 @@
         continueReading();
     }
 
-    /** Whether what comes is dropped. */
+    /** Returns whether input is dropped. */
     boolean dropsInput() {
-        return connection.state().ends() && !decodesInput();
+        return connection.state().isEnding() && !decodesInput();
     }
 
     /**
-     * Whether what comes is decoded. A client that sends requests and reads no responses would
-     * otherwise have them all kept here.
+     * Returns whether input is decoded. Otherwise the requests of a client that sends requests and
+     * reads no responses would all be buffered here.
      */
     private boolean decodesInput() {
         return upload != null
                 ? connection.state() != ClientConnectionState.CLOSED
-                : connection.state().takesRequests();
+                : connection.state().acceptsRequests();
     }
 
-    /** Reads on, or stops reading where enough waits. */
+    /** Continues to read, or stops reading if enough bytes are buffered. */
     void continueReading() {
         if (dropsInput()) {
-            return; // whoever ends the connection reads as it needs to
+            return; // // during the end of a connection, ClientConnection controls reading
         }
         boolean reads = mayRead();
         channel.config().setAutoRead(reads);
@@ -123,9 +131,10 @@
             noteUnread();
         }
         if (upload != null) {
-            // Progress counts, and not the whole time: a large body may take as long as it takes.
+            // // The timeout counts from the last progress: a large body may take as long as it
+            // needs.
             long now = server.loop().now();
-            connection.setDue(upload.isFull() ? NEVER : now + UPLOAD_SILENCE_NANOS);
+            connection.setTimeoutAt(upload.isFull() ? NEVER : now + UPLOAD_SILENCE_NANOS);
         }
     }
 
@@ -133,21 +142,24 @@
         unreadSince = Math.min(unreadSince, server.loop().now());
     }
 
-    /** Whether more may be read, so that neither requests nor a body are kept without end. */
+    /**
+     * Returns whether more may be read, so that neither requests nor a body are buffered without
+     * limit.
+     */
     private boolean mayRead() {
-        boolean waits = buffer.hasBytes() || upload != null && upload.isFull();
-        return !waits || buffer.size() < MAX_READ_AHEAD_BYTES && !account.isExhausted();
+        boolean hasPendingInput = buffer.hasBytes() || upload != null && upload.isFull();
+        return !hasPendingInput || buffer.size() < MAX_READ_AHEAD_BYTES && !account.isExhausted();
     }
 
     /**
-     * Reads what has come on the socket by now: requests, and ends, that the kernel has and the
-     * loop has not got round to.
+     * Reads what the socket has received by now: requests and ends of stream that the event loop
+     * has not read yet.
      *
-     * <p>It may run within a read of the same socket, as far down as in the decoder: what it brings
-     * is added behind what is there, and whoever decodes goes on with it.
+     * <p>May run within a read of the same socket, even within the decoder: the bytes that it reads
+     * are appended to the buffer, and the decoding that is in progress continues with them.
      */
     void readNow() {
-        for (int i = 0; i < MAX_READS_PER_LOOK && channel.isOpen() && mayRead(); i++) {
+        for (int i = 0; i < MAX_READS_PER_CHECK && channel.isOpen() && mayRead(); i++) {
             long before = buffer.received();
             channel.unsafe().read();
             if (buffer.received() == before) {
@@ -158,34 +170,37 @@
         noteUnread();
     }
 
-    /** Whether it would be seen that the client has left. */
+    /** Returns whether a disconnect of the client would be detected. */
     boolean canDetectDisconnect() {
-        return unreadSince == NEVER || server.loop().now() - unreadSince < UNSEEN_NANOS;
+        return unreadSince == NEVER || server.loop().now() - unreadSince < MAX_UNREAD_NANOS;
     }
 
-    /** Whether bytes were read that wait to be decoded. */
+    /** Returns whether bytes that were read wait to be decoded. */
     boolean hasBytes() {
         return buffer.hasBytes();
     }
 
-    /** How many bytes were received on the connection. */
+    /** Returns how many bytes were received on the connection. */
     long receivedBytes() {
         return buffer.received();
     }
 
-    /** When the last byte that was decoded had been received. */
+    /** Returns when the last decoded byte was received. */
     long lastDecodedAt() {
         return buffer.lastDecodedAt();
     }
 
-    /** Whether the request at hand is answered without a body. */
+    /** Returns whether the current request is answered without a body. */
     boolean wantsHeadOnly() {
         return decoder.wantsHeadOnly();
     }
 
-    // ---- decoding
+    // // ---- decoding
 
-    /** Decodes what has come, up to the end of a request; the next waits until it is answered. */
+    /**
+     * Decodes received bytes up to the end of a request; the next request waits until it is
+     * answered.
+     */
     void decode() {
         if (decoding) {
             return;
@@ -213,7 +228,7 @@
         if (!buffer.hasBytes() || dropsInput()) {
             dropBytes();
         } else {
-            buffer.retain();
+            buffer.moveToHeap();
         }
     }
 
@@ -222,13 +237,13 @@
             decodeUpload();
             return;
         }
-        if (connection.state().rests()) {
+        if (connection.state().isBetweenRequests()) {
             connection.on(ClientConnectionState.Event.BYTES);
         }
         HttpMessage request = decoder.decode(buffer.bytes());
         chargeCollected();
         if (request != null) {
-            connection.take(request, 0);
+            connection.acceptRequest(request, 0);
         } else if (decoder.large()) {
             startUpload();
         } else {
@@ -236,27 +251,27 @@
         }
     }
 
-    /** Takes what has come of a body that is streamed. */
+    /** Decodes received bytes of a body that is streamed. */
     private void decodeUpload() throws MalformedMessageException {
         BodyFlow flow = upload;
         boolean complete = decoder.decode(buffer.bytes()) != null;
-        // What was decoded may have had its request answered, which drops the rest.
+        // // Decoding may have caused the request to be answered, which drops the rest of its body.
         if (complete && upload == flow) {
             upload = null;
-            connection.setDue(NEVER);
+            connection.setTimeoutAt(NEVER);
             connection.uploadComplete();
             flow.end();
         }
     }
 
-    /** Charges what is held of a request that is being read to the account. */
+    /** Charges the buffered bytes of the request that is being read to the account. */
     private void chargeCollected() {
         int now = decoder.collected();
         account.add(now - collected);
         collected = now;
     }
 
-    /** A request that is too large to be buffered: the rest of it is streamed. */
+    /** Starts streaming the rest of a request that is too large to be buffered. */
     private void startUpload() throws MalformedMessageException {
         BodyFlow flow = new BodyFlow(account);
         MessageHead head = decoder.head();
@@ -267,10 +282,10 @@
         upload = flow;
         flow.whenWritable(() -> server.loop().run(this::continueUpload));
         boolean mayBegin = server.loop().now() < shutdown.answerBy();
-        connection.take(request, mayBegin ? MAX_UPLOAD_NANOS : 0);
+        connection.acceptRequest(request, mayBegin ? MAX_UPLOAD_NANOS : 0);
     }
 
-    /** There is room again for what the client sends. */
+    /** Resumes an upload whose flow has capacity again. */
     private void continueUpload() {
         if (upload != null) {
             decode();
@@ -278,7 +293,7 @@
         }
     }
 
-    /** Half a request is there, or what comes before one. */
+    /** Handles an incomplete request, or bytes before one. */
     private void awaitRest() throws MalformedMessageException {
         if (decoder.head() != null && connection.state() == ClientConnectionState.READING_HEAD) {
             connection.on(ClientConnectionState.Event.HEAD);
@@ -292,9 +307,9 @@
         }
     }
 
-    // ---- the end
+    // // ---- end
 
-    /** Whether a body is being streamed. */
+    /** Returns whether a request body is being streamed. */
     boolean isUploading() {
         return upload != null;
     }
@@ -306,14 +321,17 @@
         }
     }
 
-    /** Drops what waits; not while it is being decoded, since whoever does so drops it. */
+    /**
+     * Drops buffered bytes, unless they are being decoded: the decoding in progress drops them
+     * then.
+     */
     void dropBytes() {
         if (!decoding) {
             buffer.clear();
         }
     }
 
-    /** The connection is closed. */
+    /** Releases the buffers of a closed connection. */
     void close() {
         dropBytes();
         account.add(-collected);
--- a/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
@@ -53,7 +53,7 @@
                             }
 
                             @Override
-                            public void broke() {
+                            public void onBodyFailed() {
                                 told.add("broke");
                             }
                         });
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
@@ -85,9 +85,11 @@
     @Test
     public void noWayLeadsBackFromTheEnd() {
         for (ClientConnectionState state : ClientConnectionState.values()) {
-            if (state.ends()) {
+            if (state.isEnding()) {
                 for (ClientConnectionState later : reached(state)) {
-                    assertTrue(later.ends() && !later.takesRequests(), later + " behind " + state);
+                    assertTrue(
+                            later.isEnding() && !later.acceptsRequests(),
+                            later + " behind " + state);
                 }
             }
         }
