--- a/daemon/src/main/java/cedarrudder/transport/AdminListener.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminListener.java
@@ -24,26 +24,30 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' address: one call to a connection, answered at once. It routes calls to the {@link
- * AdminOperations} and knows nothing of requests.
+ * The listener at the administrative address: each connection carries one request, which is
+ * answered at once or when its result is known. Requests are routed to the {@link AdminOperations};
+ * client requests are not handled here.
  */
 public final class AdminListener {
 
     /**
-     * Connections at once; at this bound the one that has said least makes room, the oldest of
-     * those.
+     * The maximum number of connections. At this limit a new connection evicts the one from which
+     * the fewest bytes were received, the oldest of those.
      */
     public static final int MAX_CONNECTIONS = 16;
 
-    /** Bytes of a call, which has a short path and no body to speak of. */
+    /**
+     * The maximum size of a request's head, which contains a short path, in bytes; requests need
+     * next to no body.
+     */
     private static final int MAX_HEAD_BYTES = 4096;
 
     private static final int MAX_BODY_BYTES = 1024;
 
-    /** A call must be whole by then, in nanoseconds from its connection. */
+    /** The time from the connection within which a request must be complete, in nanoseconds. */
     private static final long CALL_TIMEOUT_NANOS = 5_000_000_000L;
 
-    /** Who has its answer may stay for this long. */
+    /** The time for which a connection stays open after its response. */
     private static final long LINGER_NANOS = 1_000_000_000L;
 
     private static final String NODES = "/-/nodes/";
@@ -55,13 +59,13 @@
     private final Set<AdminConnection> connections = new LinkedHashSet<>();
     private Channel channel;
 
-    /** A listener that is not open yet, for these operations. */
+    /** Creates a listener that is not open yet. */
     public AdminListener(ProxyEventLoop loop, AdminOperations operations) {
         this.loop = loop;
         this.operations = operations;
     }
 
-    /** Begins to listen; blocks until it does. */
+    /** Listens at an address; blocks until the socket is bound. */
     public void listen(InetSocketAddress address) throws IOException, InterruptedException {
         var bound =
                 new ServerBootstrap()
@@ -86,12 +90,12 @@
         channel = bound.channel();
     }
 
-    /** Where it listens. */
+    /** Returns the address at which it listens. */
     InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** An answer before it is written; {@code allow} is null but where the method is wrong. */
+    /** A response before it is written; {@code allow} is null unless the method is wrong. */
     private record AdminResponse(int status, String type, byte[] body, String allow) {
 
         static AdminResponse text(int status, String text) {
@@ -112,7 +116,7 @@
         }
     }
 
-    /** Null where the answer comes later, to {@code later}. */
+    /** Routes a request; returns null if the response is passed to {@code later} instead. */
     private AdminResponse route(String method, String target, Consumer<AdminResponse> later)
             throws MalformedMessageException {
         int query = target.indexOf('?');
@@ -144,7 +148,7 @@
                 operation.equals("disable") ? operations.disable(node) : operations.enable(node));
     }
 
-    /** The method of a path; null where there is no such path now. */
+    /** Returns the method that a path allows; null if there is no such path now. */
     private String allowedMethod(String path) {
         return switch (path) {
             case "/-/ready", "/-/metrics" -> "GET";
@@ -171,7 +175,7 @@
         };
     }
 
-    /** A call such as {@code zone/a/begin}. */
+    /** Routes a request such as {@code zone/a/begin}. */
     private AdminResponse routeDrainChange(
             String method, String call, Consumer<AdminResponse> later)
             throws MalformedMessageException {
@@ -219,10 +223,11 @@
                 405, "text/plain", "wrong method\n".getBytes(StandardCharsets.UTF_8), allowed);
     }
 
-    /** Decodes what is percent-encoded, once. */
+    /** Decodes percent-encoding, once. */
     private static String percentDecoded(String segment) throws MalformedMessageException {
         try {
-            // A plus sign is one: the decoder is for forms, where it stands for a blank.
+            // // The decoder is for forms, in which a plus sign means a blank; here it is a plus
+            // sign.
             return URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
             throw new MalformedMessageException(
@@ -231,7 +236,8 @@
     }
 
     /**
-     * This avoids clients who say nothing, or half a call, shutting out those who say all of it.
+     * Evicts one connection, so that clients that send nothing or a partial request can't shut out
+     * those that send a complete one.
      */
     private void evictOne() {
         AdminConnection min = null;
@@ -239,14 +245,14 @@
             min = min == null || call.receivedBytes < min.receivedBytes ? call : min;
         }
         if (min != null) {
-            // Not once it has closed, which is later: this avoids the same one making room for
-            // many.
+            // // At once and not when the channel is closed, which is later: the same connection
+            // must not be evicted for several new ones.
             connections.remove(min);
             min.channel.close();
         }
     }
 
-    /** One connection, with one call. */
+    /** A connection with one request. */
     private final class AdminConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private final DuplexChannel channel;
         private final HttpDecoder decoder = HttpDecoder.ofRequests(MAX_HEAD_BYTES, MAX_BODY_BYTES);
@@ -268,14 +274,15 @@
             closeIn(CALL_TIMEOUT_NANOS);
         }
 
-        /** Closes it then, if it is still there. */
+        /** Closes the connection after this time, unless it has ended before. */
         private void closeIn(long nanos) {
             cancelTimeout();
             timeout = loop.at(loop.now() + nanos, channel::close);
         }
 
         /**
-         * This avoids memory that grows with the rate of calls, as long as their time is not over.
+         * Cancels the timeout, since memory would otherwise grow with the rate of requests as long
+         * as their timeouts are pending.
          */
         private void cancelTimeout() {
             if (timeout != null) {
@@ -287,8 +294,8 @@
         protected void channelRead0(ChannelHandlerContext context, ByteBuf in) {
             receivedBytes += in.readableBytes();
             if (answered || awaitsResult) {
-                return; // what comes behind a call is read, since closing with bytes unread loses
-                // the answer
+                return; // // input after the request is read: closing with bytes unread would lose
+                // the response
             }
             try {
                 HttpMessage call = decoder.decode(in);
@@ -298,7 +305,7 @@
                     if (answer != null) {
                         respond(answer);
                     } else if (!answered) {
-                        closeIn(CALL_TIMEOUT_NANOS); // for those who have to agree on it
+                        closeIn(CALL_TIMEOUT_NANOS); // // time for the replicas to agree
                         awaitsResult = true;
                     }
                 } else if (decoder.awaitsContinue()) {
@@ -317,7 +324,7 @@
 
         private void respond(AdminResponse answer) {
             answered = true;
-            receivedBytes = Long.MAX_VALUE; // it goes last where room is needed
+            receivedBytes = Long.MAX_VALUE; // // evicted last
             channel.writeAndFlush(
                             HttpEncoder.page(
                                     loop.buffers(),
--- a/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminOperations.java
@@ -2,32 +2,32 @@
 
 import java.util.function.Consumer;
 
-/** What operators may ask of the proxy; all of it happens on the loop. */
+/** The operations of the administrative interface; all are called on the event loop. */
 public interface AdminOperations {
 
-    /** What came of a call. */
+    /** The result of an operation. */
     enum OperationResult {
-        /** It counts from now on; also where it did already. */
+        /** The change applies from now on, or applied already. */
         DONE,
-        /** It names an endpoint that was never listed. */
+        /** The named endpoint was never listed. */
         UNKNOWN_ENDPOINT,
-        /** It can't be done, or can't be kept. */
+        /** The change can't be made, or can't be persisted. */
         UNAVAILABLE
     }
 
-    /** Whether this process can serve. */
+    /** Returns whether this process can serve. */
     boolean isReady();
 
-    /** The figures, as JSON. */
+    /** Returns the metrics, as JSON. */
     byte[] metrics();
 
-    /** Leaves an endpoint out until it is enabled. */
+    /** Takes an endpoint out of service until it is enabled. */
     OperationResult disable(String node);
 
-    /** Puts an endpoint back. */
+    /** Puts an endpoint back into service. */
     OperationResult enable(String node);
 
-    /** Endpoints that a call names at once. */
+    /** The sets of endpoints that a drain request can name. */
     enum DrainTarget {
         NODE,
         ZONE,
@@ -36,29 +36,30 @@
     }
 
     /**
-     * Has endpoints leave by the policies of drains, or ends that; for all replicas.
+     * Begins or cancels a drain of endpoints according to the drain policies, for all replicas.
      *
-     * @param name an id, or what all endpoints have that are meant
-     * @param then takes what came of it, once it is committed or that can't be known any more
+     * @param name an endpoint's id, or the property that all endpoints to be drained have in common
+     * @param then receives the result, once the change is committed or its outcome can no longer be
+     *     known
      */
     void changeDrains(
             DrainTarget which, String name, boolean cancel, Consumer<OperationResult> then);
 
-    /** The drains, as JSON; null where there are no policies. */
+    /** Returns the drains, as JSON; null if there are no policies. */
     byte[] drains();
 
-    /** Sends clients away. */
+    /** Drains this proxy: clients are disconnected. */
     OperationResult drain();
 
-    /** Takes clients again. */
+    /** Ends the drain of this proxy: clients are accepted again. */
     OperationResult resume();
 
     /**
-     * What the replicas agreed on and how this one stands, as JSON; null where they agree on
-     * nothing.
+     * Returns what the replicas have agreed on and the state of this one, as JSON; null if the
+     * replicas don't coordinate.
      */
     byte[] routeTable();
 
-    /** Forms a group of replicas that agree, with this one as the first. */
+    /** Forms a group of replicas that coordinate, with this one as its first member. */
     OperationResult formGroup();
 }
--- a/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientLimits.java
@@ -4,22 +4,24 @@
 import cedarrudder.protocol.HttpDecoder;
 
 /**
- * What clients may cost. Times are in nanoseconds.
+ * Limits on the resources that clients may use. Times are in nanoseconds.
  *
- * @param requestTimeout a request must be whole this long after its connection came, or after its
- *     first byte where others came before it. This avoids half requests and silent connections
- *     holding descriptors: whoever sends what is no request is owed an answer or a close within 3 s
- * @param silentAfter clients send their first request as they connect, and each in one piece; one
- *     that is silent, or has sent half a request, for this long gives up its place where room is
- *     needed
- * @param idleTimeout a client between requests is closed after this long. The protocol allows it
- *     after 2 s; those that ask once and stay would pile up
- * @param responseTimeout a client that hasn't read its answer for this long has given up waiting
- *     for it
- * @param maxHeadBytes the largest head of a request, in bytes
- * @param maxBodyBytes the largest body of a request, in bytes; what is over {@link BodyFlow#WINDOW}
- *     flows
- * @param descriptorShare the share of the process's descriptors that clients may hold
+ * @param requestTimeout the time within which a request must be complete, from the start of its
+ *     connection, or from its first byte if other requests came before it. Limits the descriptors
+ *     used by partial requests and silent connections: a client that sends an invalid request is
+ *     answered or disconnected within 3 s
+ * @param silentAfter the time after which a client that is silent, or has sent part of a request,
+ *     is evicted if connections are needed; clients send their first request as they connect, and
+ *     each in one piece
+ * @param idleTimeout the time after which a client between requests is disconnected. The protocol
+ *     allows it after 2 s; connections of clients that send one request and stay connected would
+ *     accumulate
+ * @param responseTimeout the time after which a client that has not read its response has stopped
+ *     waiting for it
+ * @param maxHeadBytes the maximum size of a request's head, in bytes
+ * @param maxBodyBytes the maximum size of a request's body, in bytes; a body over {@link
+ *     BodyFlow#WINDOW} is streamed
+ * @param descriptorShare the maximum fraction of the process's descriptors that clients may use
  */
 public record ClientLimits(
         long requestTimeout,
@@ -31,8 +33,8 @@
         double descriptorShare) {
 
     /**
-     * What counts where nothing is set: operators may set each. None of it ends a request that
-     * waits for its answer, so that it holds for classes of any deadline.
+     * The limits that apply unless operators set others. None of them ends a request that waits for
+     * its response, so that they suit classes of any deadline.
      */
     public static final ClientLimits DEFAULT =
             new ClientLimits(
@@ -44,7 +46,7 @@
                     HttpDecoder.MAX_FLOW,
                     0.5);
 
-    /** How many clients may be connected at once, of a process with this many descriptors. */
+    /** Returns the maximum number of clients of a process with this many descriptors. */
     public int maxClients(int descriptors) {
         return Math.max(1, (int) (descriptors * descriptorShare));
     }
--- a/daemon/src/main/java/cedarrudder/transport/ClientRequest.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientRequest.java
@@ -9,7 +9,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.function.Supplier;
 
-/** One request on a client connection, from being taken to its response. */
+/** A request on a client connection, from its acceptance to its response. */
 final class ClientRequest implements Exchange.Reply<HttpMessage> {
 
     private static final int UNAVAILABLE = 503;
@@ -23,7 +23,10 @@
     private final int bufferedBytes;
     private Exchange<HttpMessage, HttpMessage> exchange;
 
-    /** A request whose id is open and whose buffered body is charged to the account from now on. */
+    /**
+     * Creates a request whose id is open and whose buffered body is charged to the account until
+     * {@link #close}.
+     */
     ClientRequest(
             ServerContext server, ClientConnection connection, HttpMessage message, String id) {
         this.server = server;
@@ -43,7 +46,7 @@
         return exchange;
     }
 
-    /** The connection that it came on. */
+    /** Returns the connection on which the request was received. */
     ClientConnection connection() {
         return connection;
     }
@@ -93,7 +96,7 @@
         respondWithout(BAD_GATEWAY, "failed", 0);
     }
 
-    /** Responds without an endpoint's answer. */
+    /** Responds without a response of an endpoint. */
     private void respondWithout(int status, String text, long retryAfter) {
         boolean last = connection.isLastResponse();
         respond(
@@ -118,10 +121,9 @@
     }
 
     /**
-     * It is over: its id is free again, and its body is no longer charged.
+     * Closes the request: releases its id, and its body is no longer charged to the account.
      *
-     * @param uploading whether its body is still being received; else nobody takes what is left of
-     *     it
+     * @param uploading whether the body is still being received; if not, its rest is dropped
      */
     void close(boolean uploading) {
         server.closeId(id);
--- a/daemon/src/main/java/cedarrudder/transport/EndpointCall.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointCall.java
@@ -6,16 +6,16 @@
 import cedarrudder.protocol.MessageHead;
 import io.netty.buffer.ByteBuf;
 
-/** What is carried on a connection to an endpoint: one request, and what its end means. */
+/** A request on a connection to an endpoint, and the handling of its result. */
 abstract class EndpointCall {
 
-    /** How far it has gone; it only goes on. */
+    /** The progress of a call; it only moves forward. */
     private enum State {
-        /** Its last byte is not written. */
+        /** The last byte is not written. */
         UNWRITTEN,
-        /** Its last byte is written: it may have been executed. */
+        /** The last byte is written: the request may have been executed. */
         WRITTEN,
-        /** Its end is reported, or nobody waits for it. */
+        /** The result is reported, or no longer needed. */
         ENDED
     }
 
@@ -31,7 +31,7 @@
         return endpoint;
     }
 
-    /** The connection that carries it from now on. */
+    /** Sets the connection that carries the call from now on. */
     void setConnection(EndpointConnection carrier) {
         connection = carrier;
     }
@@ -40,49 +40,56 @@
         return state == State.ENDED;
     }
 
-    // ---- what it consists of
+    // // ---- content
 
     /**
-     * Whether its first byte may go out now; where not, it has ended. Asked once, right before, on
-     * whatever connection: an idle one, or one that has come up, maybe long after it was opened.
+     * Returns whether the first byte may be sent now; if not, the call has ended. Called once,
+     * right before sending, on an idle connection or on a new one, which may have taken long to
+     * establish.
      */
     abstract boolean mayStart();
 
-    /** The request, or the first bytes of one whose body is streamed. */
+    /** Encodes the request, or the first bytes of one whose body is streamed. */
     abstract ByteBuf encode();
 
-    /** The rest of what is to be written; null where {@link #encode} gives all of it. */
+    /**
+     * Returns the rest of the body to be streamed; null if {@link #encode} returns the whole
+     * request.
+     */
     BodyRemainder rest() {
         return null;
     }
 
-    /** Some of the rest is about to go out. */
+    /** Called before each piece of the rest is written. */
     void discardContent() {}
 
-    /** Whether an answer with this head may be streamed. */
+    /** Returns whether a response with this head may be streamed. */
     boolean mayStream(MessageHead head) {
         return false;
     }
 
-    // ---- what becomes of it
+    // // ---- result
 
-    /** Its last byte is written. */
+    /** Records that the last byte is written. */
     void writeComplete() {
         if (state == State.UNWRITTEN) {
             state = State.WRITTEN;
         }
     }
 
-    /** The answer is streamed from here on; its end comes as an answer without a body. */
+    /**
+     * Called when the response begins to be streamed; its end is reported as a response without a
+     * body.
+     */
     void responseStarted(HttpMessage answer) {}
 
-    /** Reports an answer. */
+    /** Reports a response. */
     abstract void onAnswer(HttpMessage answer);
 
-    /** Reports an end without an answer. */
+    /** Reports an end without a response. */
     abstract void onFailure(Outcome outcome);
 
-    /** An answer is there; without effect where nobody waits for it. */
+    /** Ends the call with a response; has no effect if the call has ended. */
     final void answered(HttpMessage answer) {
         if (state != State.ENDED) {
             state = State.ENDED;
@@ -90,7 +97,10 @@
         }
     }
 
-    /** The connection never came up, or it ended without a complete answer. */
+    /**
+     * Ends the call because the connection was never established, or ended without a complete
+     * response.
+     */
     final void connectionFailed() {
         if (state != State.ENDED) {
             boolean written = state == State.WRITTEN;
@@ -100,8 +110,9 @@
     }
 
     /**
-     * This process can't open a connection or make the request. The endpoint never saw it, so it
-     * counts neither as failing nor as out of connections.
+     * Ends the call because this process can't open a connection or encode the request. The
+     * endpoint never received it, so the outcome counts neither as a failure nor as a lack of
+     * connections of the endpoint.
      */
     final void notStarted() {
         if (state != State.ENDED) {
@@ -110,7 +121,7 @@
         }
     }
 
-    /** Nobody waits for it any more; closing the connection is how an endpoint learns of it. */
+    /** Ends the call without a result; closing the connection is how the endpoint detects this. */
     final void abandon() {
         state = State.ENDED;
         if (connection != null) {
@@ -118,7 +129,7 @@
         }
     }
 
-    /** Whether an endpoint rejected a request without executing it. */
+    /** Returns whether an endpoint rejected a request without executing it. */
     static boolean isDeclined(HttpMessage answer) {
         int status = answer.head().status();
         return (status == 503 || status == 504)
--- a/daemon/src/main/java/cedarrudder/transport/EndpointLimits.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointLimits.java
@@ -4,18 +4,18 @@
 import cedarrudder.protocol.HttpDecoder;
 
 /**
- * What endpoints may cost. Times are in nanoseconds.
+ * Limits on the resources that endpoints may use. Times are in nanoseconds.
  *
- * @param probeTimeout a probe without an answer is given up after this long
- * @param responseTimeout an answer that has begun, of which nothing more has come for this long,
- *     has been spoilt; one that is still coming after this long flows to its client as it comes.
- *     Guards against waiting until the request's end for the rest of an answer that is shorter than
- *     it says, or whose head never ends
- * @param maxHeadBytes the largest head of an answer, in bytes
- * @param maxBodyBytes the largest body of an answer, in bytes; what is over {@link BodyFlow#WINDOW}
- *     flows
- * @param descriptorShare the share of the process's descriptors beyond which each new channel costs
- *     one that is idle
+ * @param probeTimeout the time after which a probe without a response has failed
+ * @param responseTimeout the time after which an incomplete response of which nothing more is
+ *     received has failed; one that is still being received after this time is streamed to its
+ *     client. Without it, a response that is shorter than its declared length, or whose head never
+ *     ends, would be waited for until the request's deadline
+ * @param maxHeadBytes the maximum size of a response's head, in bytes
+ * @param maxBodyBytes the maximum size of a response's body, in bytes; a body over {@link
+ *     BodyFlow#WINDOW} is streamed
+ * @param descriptorShare the fraction of the process's descriptors beyond which each new connection
+ *     to an endpoint replaces an idle one
  */
 public record EndpointLimits(
         long probeTimeout,
@@ -25,33 +25,39 @@
         double descriptorShare) {
 
     /**
-     * What counts where nothing is set: operators may set each. An attempt ends by its deadline
-     * anyway.
+     * The limits that apply unless operators set others. An attempt ends by its deadline in any
+     * case.
      */
     public static final EndpointLimits DEFAULT =
             new EndpointLimits(
                     250_000_000L, 300_000_000L, HttpDecoder.MAX_HEAD, HttpDecoder.MAX_FLOW, 0.25);
 
     /**
-     * Of what clients leave, this many descriptors are no channel's: 16 calls of operators,
-     * discovery, the log, the program's own files. Where there are few, a fifth of all.
+     * The number of descriptors, of those not used by clients, that endpoint connections leave
+     * free: for 16 connections of operators, discovery, the log and the program's own files. If
+     * there are few descriptors, a fifth of all.
      */
     private static final int RESERVED_DESCRIPTORS = 48;
 
     /**
-     * How many channels there may be.
+     * Bounds on the number of connections to endpoints.
      *
-     * @param maxIdle beyond this many, each new one costs one that is idle
-     * @param max beyond this many, none is opened
+     * @param maxIdle beyond this number, each new connection replaces an idle one
+     * @param max beyond this number, no connection is opened
      */
     public record Bounds(int maxIdle, int max) {}
 
-    /** The bounds of a process with this many descriptors, of which clients may hold some. */
-    public Bounds bounds(int descriptors, int callers) {
+    /**
+     * Returns the bounds of a process with this many descriptors, of which clients may use up to
+     * {@code maxClients}.
+     */
+    public Bounds bounds(int descriptors, int maxClients) {
         return new Bounds(
                 Math.max(1, (int) (descriptors * descriptorShare)),
                 Math.max(
                         1,
-                        descriptors - callers - Math.min(RESERVED_DESCRIPTORS, descriptors / 5)));
+                        descriptors
+                                - maxClients
+                                - Math.min(RESERVED_DESCRIPTORS, descriptors / 5)));
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/EventRecorder.java
+++ b/daemon/src/main/java/cedarrudder/transport/EventRecorder.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * Takes what happens to this replica, for a history that is judged afterwards; on the loop, which
- * never waits for it.
+ * Records the events of this replica in a history that is checked afterwards. Called on the event
+ * loop, which it must not block.
  */
 public interface EventRecorder {
 
     /**
-     * Something happened now.
+     * Records an event that occurred now.
      *
-     * @param what a word
-     * @param fields what else is known of it: texts and whole numbers
+     * @param what the event, as one word
+     * @param fields the event's details: texts and whole numbers
      */
     void record(String what, Map<String, ?> fields);
 }
--- a/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
@@ -9,22 +9,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listening socket that can be closed without losing who waits at it. */
+/**
+ * A listening socket that can be closed without losing the connections that wait to be accepted.
+ */
 final class HandoverSocket extends NioServerSocketChannel {
 
     private final ProxyEventLoop loop;
 
     /**
-     * @param loop hears what went wrong at it
+     * Creates a socket that is not bound yet.
+     *
+     * @param loop provides the log for failures of the socket
      */
     HandoverSocket(ProxyEventLoop loop) {
         this.loop = loop;
     }
 
     /**
-     * Tells by the project's log that a connection could not be accepted. This avoids the library's
-     * own, which opens files for its first line: with no descriptor left that is an error that ends
-     * the loop.
+     * Creates a pipeline that logs failures to accept a connection to the proxy's own log. Netty's
+     * logger opens files for its first line, which fails without a free descriptor, and that error
+     * would end the event loop.
      */
     @Override
     protected DefaultChannelPipeline newChannelPipeline() {
@@ -37,15 +41,14 @@
     }
 
     /**
-     * Takes all connections that wait and closes the socket right behind the last. This avoids
-     * connections that the kernel has accepted being reset: it resets what is in the queue of a
-     * socket that is closed.
+     * Accepts all waiting connections and closes the socket right after the last. The kernel resets
+     * the connections that are in the queue of a socket when it is closed.
      *
-     * <p>The socket leaves the selector first, which takes a turn of the loop or two. Guards
-     * against the virtual machine putting the close off until the selector has let go of it, with
-     * connections coming meanwhile.
+     * <p>The socket is removed from the selector first, which takes one or two turns of the event
+     * loop. Otherwise the virtual machine would delay the close until the selector has released the
+     * socket, while further connections arrive.
      *
-     * @param then runs once it is closed
+     * @param then runs once the socket is closed
      */
     void closeAfterAcceptingAll(Runnable then) {
         EventLoop turns = eventLoop();
@@ -65,12 +68,13 @@
                 waiting.add(next);
             }
         } catch (IOException e) {
-            // such as no descriptor left: who waits is reset, as it would be without this
+            // // such as no descriptor left: waiting connections are reset, as they would be
+            // without this
         }
         try {
             javaChannel().close();
         } catch (IOException e) {
-            // it is closed below once more, by its channel
+            // // the channel closes it once more below
         }
         for (SocketChannel accepted : waiting) {
             pipeline().fireChannelRead(new NioSocketChannel(this, accepted));
--- a/daemon/src/main/java/cedarrudder/transport/MembershipService.java
+++ b/daemon/src/main/java/cedarrudder/transport/MembershipService.java
@@ -11,12 +11,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Membership on the loop's clock and the socket to the peers; what it decides stands in {@link
- * SwimMember}. It belongs to the loop's thread.
+ * Runs membership on the event loop's clock and the peer socket; {@link SwimMember} makes the
+ * decisions. Used on the event loop only.
  */
 public final class MembershipService {
 
-    /** Takes that a replica counts as live from now on, or as dead. */
+    /** Receives changes of whether a replica counts as live or as dead. */
     public interface LivenessListener {
         void onLivenessChanged(int replica, boolean alive);
     }
@@ -33,12 +33,14 @@
     private LivenessListener livenessListener = (replica, alive) -> {};
 
     /**
-     * @param replicas how many proxies of the tier there may be, and {@code self} the number of
-     *     this one
-     * @param incarnation larger than that of the process before, such as the time of its start in
+     * Creates a service that sends nothing before {@link #start}.
+     *
+     * @param replicas the maximum number of proxies of the tier
+     * @param self the number of this one
+     * @param incarnation larger than that of the previous process, such as the time of its start in
      *     milliseconds
-     * @param liveCountListener takes how many live, whenever that changes
-     * @param history takes what becomes known; null where nobody asked for that
+     * @param liveCountListener receives the number of live replicas whenever it changes
+     * @param history records changes of membership; null if none are to be recorded
      */
     public MembershipService(
             ProxyEventLoop loop,
@@ -77,25 +79,31 @@
                         loop.now());
     }
 
-    /** Tells this one of each replica, from now on; before it begins. */
-    public void setLivenessListener(LivenessListener hears) {
-        livenessListener = hears;
+    /** Sets the listener for the liveness of each replica; called before {@link #start}. */
+    public void setLivenessListener(LivenessListener listener) {
+        livenessListener = listener;
     }
 
-    /** Begins; on the loop. */
+    /** Starts to take part in membership; called on the event loop. */
     public void start() {
         peers.setHandler(this::onMessage);
         record("speaks", Map.of("number", incarnation));
         scheduleTick();
     }
 
-    /** Says that this proxy leaves, so that the others need not find out; on the loop. */
+    /**
+     * Announces that this proxy leaves, so that the others need not detect it; called on the event
+     * loop.
+     */
     public void leave() {
         swim.leave();
         stopSpeaking();
     }
 
-    /** Says and hears nothing more, since another process of this proxy does; on the loop. */
+    /**
+     * Stops sending and receiving, since another process of this proxy does so; called on the event
+     * loop.
+     */
     public void stopSpeaking() {
         if (timer != null) {
             timer.cancel();
@@ -121,7 +129,7 @@
         scheduleTick();
     }
 
-    /** Sees to it that the next tick comes when it is due. */
+    /** Schedules the next tick for when it is due. */
     private void scheduleTick() {
         long due = swim.nextTickAt();
         if (due == scheduledAt) {
--- a/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
@@ -19,13 +19,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** The datagrams that proxies of one tier send one another. */
+/** The socket for the datagrams that the proxies of one tier exchange. */
 public final class PeerSocket implements PeerTransport {
 
-    /** A longer message breaks the protocol. */
+    /** The maximum size of a message; a longer one violates the protocol. */
     private static final int MAX_MESSAGE_BYTES = 256;
 
-    /** Takes a message from one of the others, by its number. */
+    /** Receives a message from another proxy, which is given by its number. */
     interface MessageHandler {
         void onMessage(int from, byte[] message);
     }
@@ -38,8 +38,10 @@
     private Channel channel;
 
     /**
+     * Creates a socket that is not open yet.
+     *
      * @param peers the address of each proxy of the tier, by its number
-     * @param broadcastAddress an address that reaches them all, or null where there is none
+     * @param broadcastAddress an address that reaches all proxies, or null if there is none
      */
     public PeerSocket(
             ProxyEventLoop loop,
@@ -53,7 +55,7 @@
     }
 
     /**
-     * Begins to listen; blocks until it does.
+     * Listens at an address; blocks until the socket is bound.
      *
      * @param shared whether another process of this proxy may listen there too
      */
@@ -66,10 +68,14 @@
         channel = bound.channel();
     }
 
-    /** Begins to listen where another process of this proxy has listened; on the loop. */
+    /**
+     * Listens at an address at which another process of this proxy has listened; called on the
+     * event loop.
+     */
     public void takeOver(InetSocketAddress address, Runnable then) {
         ChannelFuture begun = bind(address, true);
-        channel = begun.channel(); // to be closed from now on, whether it is bound yet or not
+        channel = begun.channel(); // // close() may be called from now on, whether the socket is
+        // bound yet or not
         begun.addListener(
                 (ChannelFuture bound) -> {
                     if (bound.isSuccess()) {
@@ -93,17 +99,22 @@
                 .bind(address);
     }
 
-    /** Listens no longer: what peers send from now on is for another process; on the loop. */
+    /**
+     * Closes the socket, so that further datagrams of peers go to another process; called on the
+     * event loop.
+     */
     void close() {
         channel.close();
     }
 
-    /** Messages that begin with this byte go to this one from now on; on the loop. */
+    /** Sets the handler of messages that begin with this byte; called on the event loop. */
     void setHandler(byte first, MessageHandler next) {
         handlersByFirstByte.put(first, next);
     }
 
-    /** All others go to this one from now on, and no longer to the decisions; on the loop. */
+    /**
+     * Sets the handler of all other messages, in place of the forwarder; called on the event loop.
+     */
     void setHandler(MessageHandler next) {
         defaultHandler = next;
     }
@@ -145,7 +156,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // Such as a peer's port being closed: the socket stays.
+            // // Such as an error because a peer's port is closed: the socket stays open.
             loop.log().warn("peer.socket_failed").with("error", cause).write();
         }
     }
--- a/daemon/src/main/java/cedarrudder/transport/ProbeCall.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProbeCall.java
@@ -10,7 +10,7 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** A probe, on its way to an endpoint and back. */
+/** A probe, sent to an endpoint. */
 final class ProbeCall extends EndpointCall {
 
     private static final String REPORT_PATH = "/_load";
@@ -37,7 +37,10 @@
         }
     }
 
-    /** A probe to an endpoint that was removed says nothing of what is listed in its place. */
+    /**
+     * Returns whether the probe may start; ends it if the endpoint was removed, since it would
+     * reveal nothing about the endpoint that is listed in its place.
+     */
     @Override
     boolean mayStart() {
         if (endpoint().isRemoved()) {
@@ -58,7 +61,7 @@
     @Override
     void onAnswer(HttpMessage answer) {
         if (endpoint().isRemoved()) {
-            onFailure(Outcome.CANCELLED); // what it reports is true of nobody any more
+            onFailure(Outcome.CANCELLED); // // the report applies to no listed endpoint
             return;
         }
         timeout.cancel();
--- a/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The one event loop, which owns all that runs, and its clock. */
+/** The event loop, which owns the state of the whole proxy, and its clock. */
 public final class ProxyEventLoop implements TimerService {
 
     private static final int PAGE_BYTES = 8192;
@@ -23,28 +23,29 @@
     private static final int CACHED_BUFFERS_PER_SIZE = 0;
 
     /**
-     * A task that runs so late tells of a core that is short, or of a pause: answers then come late
-     * too.
+     * The delay of a task beyond which a warning is logged: the CPU is overloaded or the process
+     * was paused, and responses are delayed too.
      */
     private static final long LATE_THRESHOLD_NANOS = 20_000_000L;
 
     /**
-     * Its end is waited for no longer, in nanoseconds: SIGKILL comes 0.2 s behind the last answers.
+     * The maximum time that {@link #stop} waits, in nanoseconds: SIGKILL follows 0.2 s after the
+     * last responses.
      */
     private static final long STOP_TIMEOUT_NANOS = 100_000_000L;
 
     /**
-     * For how long the latest known lateness is taken to last; of a wait only a part comes off for
-     * it.
+     * The time for which the last measured lateness is assumed to last; only a part of a wait is
+     * reduced by it.
      */
     private static final long LATENESS_MEMORY_NANOS = 5_000_000_000L;
 
     private final EventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
 
     /**
-     * One small arena of 256 KiB chunks: the defaults take megabytes for each core of the machine.
-     * Without caches by size: these hold up to ten megabytes of buffers that were released, which
-     * serve no other size, and would leave no direct memory for reads once it has run out.
+     * One small arena of 256 KiB chunks: the defaults use megabytes for each core of the machine.
+     * Without caches by size: these retain up to ten megabytes of released buffers, which can't be
+     * used for other sizes, and would leave no direct memory for reads once it is exhausted.
      */
     private final ByteBufAllocator buffers =
             new PooledByteBufAllocator(
@@ -67,8 +68,9 @@
     }
 
     /**
-     * @param skewedClock what the clock of a trial makes of the machine's; null: the clock is the
-     *     machine's
+     * Creates an event loop.
+     *
+     * @param skewedClock the clock of a test with skewed clocks; null: the machine's clock
      */
     public ProxyEventLoop(Logger log, SkewedClock skewedClock) {
         this.log = log;
@@ -118,26 +120,28 @@
     }
 
     /**
-     * How late the loop has lately been at its worst; bytes that it reads may have waited that
-     * long.
+     * Returns the maximum recent delay of the event loop; received bytes may have waited that long.
      */
     long lateness() {
         return now() - worstLatenessAt > LATENESS_MEMORY_NANOS ? 0 : worstLateness;
     }
 
-    /** Runs a task on the loop, from any thread; one that comes after its end is dropped. */
+    /**
+     * Runs a task on the event loop; may be called from any thread. After the end of the loop, the
+     * task is dropped.
+     */
     public void run(Runnable task) {
         try {
             group.execute(() -> runGuarded(task));
         } catch (RejectedExecutionException e) {
-            // what it was to change is gone
+            // // the state that the task would change no longer exists
         }
     }
 
     /**
-     * Connects, and tells on the loop what came of it, or at once where it is known at once. Guards
-     * against the one case that Netty tells on a thread of its own: a socket that can't be made,
-     * for want of a descriptor.
+     * Connects, and passes the result on the event loop, or at once if it is known at once. Netty
+     * reports one case on a thread of its own, which is redirected to the loop: a socket that can't
+     * be created for lack of a descriptor.
      */
     void connect(Bootstrap bootstrap, InetSocketAddress to, Consumer<Future<? super Void>> then) {
         bootstrap
@@ -153,10 +157,10 @@
     }
 
     /**
-     * Ends the loop, from any thread but its own: what it still owns is closed. Returns once that
-     * is done, or after {@link #STOP_TIMEOUT_NANOS}. This avoids a process whose last moments load
-     * other classes each time, by who is first: the class-data archive is made of what one run
-     * loaded.
+     * Ends the event loop and closes its channels; may be called from any thread but the loop's
+     * own. Returns once that is done, or after {@link #STOP_TIMEOUT_NANOS}. Without the wait, the
+     * classes loaded at the end of the process would depend on which thread is first: the
+     * class-data archive contains the classes that one run has loaded.
      */
     public void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS)
@@ -164,7 +168,8 @@
     }
 
     /**
-     * Whether it has been asked to end: what it owns is being closed, which is nobody's failure.
+     * Returns whether the event loop has been asked to end, in which case channels that close are
+     * no failures.
      */
     boolean isStopping() {
         return group.isShuttingDown();
@@ -174,7 +179,7 @@
         try {
             task.run();
         } catch (RuntimeException | VirtualMachineError | LinkageError e) {
-            // This avoids a fault in one task ending what the loop does for all others.
+            // // A fault in one task must not end the event loop.
             log.fault("loop.task_failed", e).write();
         }
     }
--- a/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/transport/ReplicaCoordinator.java
@@ -13,41 +13,49 @@
 import java.util.function.Function;
 
 /**
- * What replicas decide together, on the loop's clock and the socket to the peers; what it decides
- * stands in {@link CoordinatedReplica}. It takes part while this process is the one of its number
- * that speaks, and keeps quiet before and after. It belongs to the loop's thread.
+ * Runs the coordination of replicas on the event loop's clock and the peer socket; {@link
+ * CoordinatedReplica} makes the decisions. Takes part only while this process is the active one of
+ * its replica number, and sends nothing before and after. Used on the event loop only.
  */
 public final class ReplicaCoordinator {
 
-    /** The first bytes of datagrams that are for it. */
+    /** The first bytes of the datagrams of the log and of the reports. */
     private static final byte LOG_FIRST_BYTE = (byte) 0xa6;
 
     private static final byte REPORT_FIRST_BYTE = (byte) 0xa7;
 
-    /** Takes up what was decided. */
+    /** Receives the decisions. */
     public interface Host {
-        /** This table counts from now on; null: none. */
+        /** Sets the table that applies from now on; null: none. */
         void onTable(RouteTable table);
 
-        /** And not from that instant on, whatever else is said or not. */
+        /**
+         * Sets the instant from which the table no longer applies, unless a later instant is set
+         * before.
+         */
         void onLeaseExtended(long instant);
 
-        /** What became of a command that was proposed here; null where it is not committed. */
+        /**
+         * Reports the outcome of a command that was proposed here; the position is null if it is
+         * not committed.
+         */
         void onProposalSettled(Proposal proposal, ProposalOutcome outcome, LogPosition number);
 
-        /** These endpoints are being removed. */
+        /** Sets the list of endpoints that are being drained. */
         void onDrainingNodes(List<RouteTable.DrainingNode> nodes);
     }
 
-    /** Makes this replica's part at the moment at which it begins to take part. */
+    /** Creates the replica when this process begins to take part. */
     public interface ReplicaFactory {
         /**
-         * @param outlet takes what it causes
-         * @throws UncheckedIOException if what it must not forget can't be kept
+         * Creates the replica.
+         *
+         * @param actions receives the outputs of the replica
+         * @throws UncheckedIOException if its state can't be persisted
          */
-        CoordinatedReplica create(CoordinatedReplica.Actions outlet, long now);
+        CoordinatedReplica create(CoordinatedReplica.Actions actions, long now);
 
-        /** It takes part no more: another process may. */
+        /** Called when this process no longer takes part: another process may. */
         void onStopped();
     }
 
@@ -63,7 +71,9 @@
     private boolean wasLeader;
 
     /**
-     * @param history takes what becomes known; null where nobody asked for that
+     * Creates a coordinator that does not take part before {@link #start}.
+     *
+     * @param history records events of the protocol; null if none are to be recorded
      */
     public ReplicaCoordinator(
             ProxyEventLoop loop,
@@ -78,7 +88,7 @@
         this.history = history;
     }
 
-    /** Takes part from now on; on the loop. */
+    /** Starts to take part; called on the event loop. */
     public void start() {
         peers.setHandler(LOG_FIRST_BYTE, this::onMessage);
         peers.setHandler(REPORT_FIRST_BYTE, this::onMessage);
@@ -92,7 +102,8 @@
     }
 
     /**
-     * Hands on what it leads and takes part no more, such as before this process ends; on the loop.
+     * Transfers leadership, if this replica leads, and stops taking part, for example before this
+     * process ends; called on the event loop.
      */
     public void stop() {
         apply(part -> part.transferLeadership(loop.now()));
@@ -109,7 +120,7 @@
         }
     }
 
-    /** Membership holds that a replica lives, or that it is dead. */
+    /** Records whether membership considers a replica live or dead. */
     public void setAlive(int number, boolean alive) {
         dead.set(number, !alive);
         if (replica != null) {
@@ -117,19 +128,24 @@
         }
     }
 
-    /** How things stand; null where this process takes no part. */
+    /** Returns the state of the replica; null if this process takes no part. */
     public CoordinatedReplica.Status status() {
         return replica == null ? null : replica.status(loop.now());
     }
 
-    /** An operator has this replica form a group; false where it can't. */
+    /** Forms a group on an operator's command; returns false if that is not possible. */
     public boolean formGroup() {
         return Boolean.TRUE.equals(apply(part -> part.formGroup(loop.now())));
     }
 
-    /** Proposes a command of a removal, whoever leads; null where nothing is taken now. */
-    public Proposal propose(byte[] command, long patience) {
-        return apply(part -> part.propose(loop.now(), command, patience));
+    /**
+     * Proposes a drain command, whichever replica leads; returns null if no command is accepted
+     * now.
+     *
+     * @param timeout the time after which the outcome is reported, in nanoseconds
+     */
+    public Proposal propose(byte[] command, long timeout) {
+        return apply(part -> part.propose(loop.now(), command, timeout));
     }
 
     private void onMessage(int from, byte[] message) {
@@ -149,7 +165,7 @@
                 });
     }
 
-    /** Null where it takes no part. */
+    /** Applies an event to the replica; returns null if this process takes no part. */
     private <T> T apply(Function<CoordinatedReplica, T> event) {
         if (replica == null) {
             return null;
@@ -165,15 +181,16 @@
     }
 
     /**
-     * What it must not forget can't be kept. This avoids speaking of what it would have forgotten:
-     * it says nothing more, and clients are served as without a table once its lease is over.
+     * Stops taking part because the state can't be persisted: messages must not refer to state that
+     * would be lost. Nothing more is sent, and clients are served without a table once its lease
+     * has expired.
      */
     private void onStorageFailure(UncheckedIOException e) {
         loop.log().warn("consensus.stopped").with("why", e.getMessage()).write();
         end();
     }
 
-    /** Sees to it that the next tick comes when it is due. */
+    /** Logs a change of leadership and schedules the next tick for when it is due. */
     private void scheduleTick() {
         CoordinatedReplica.Status now = replica.status(loop.now());
         if (now.isLeader() != wasLeader) {
--- a/daemon/src/main/java/cedarrudder/transport/ServerContext.java
+++ b/daemon/src/main/java/cedarrudder/transport/ServerContext.java
@@ -13,7 +13,7 @@
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
 
-/** What the client connections of one server share; it belongs to the event loop. */
+/** The state that the client connections of one server share. Used on the event loop only. */
 final class ServerContext {
 
     private final ProxyEventLoop loop;
@@ -54,7 +54,7 @@
         return headers;
     }
 
-    /** Whether the proxy can serve, for all but its own shutdown. */
+    /** Returns whether the proxy can serve, apart from its own shutdown. */
     boolean isReady() {
         return ready.getAsBoolean();
     }
@@ -72,11 +72,15 @@
     }
 
     void setInterceptor(
-            BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> answers) {
-        interceptor = answers;
+            BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>>
+                    newInterceptor) {
+        interceptor = newInterceptor;
     }
 
-    /** Hands a request to whoever answers it. */
+    /**
+     * Passes a request to the interceptor, or to the forwarder if the interceptor does not answer
+     * it.
+     */
     void accept(Exchange<HttpMessage, HttpMessage> exchange, Exchange.Reply<HttpMessage> reply) {
         if (!interceptor.test(exchange, reply)) {
             forwarder.accept(exchange);
@@ -84,7 +88,7 @@
     }
 
     /**
-     * What the balancer learns of a request.
+     * Creates the description of a request that is passed to the balancer.
      *
      * @param receivedAt when its last byte was received
      * @param answerBy the instant by which this process has to answer it
@@ -97,10 +101,10 @@
     }
 
     /**
-     * Opens a request's id. One client's answer would else be made for another's request of the
-     * same id.
+     * Opens a request's id. Otherwise, of two clients with the same id, one could receive the
+     * response to the other's request.
      *
-     * @throws MalformedMessageException where it is open already
+     * @throws MalformedMessageException if the id is open already
      */
     void openId(String id) throws MalformedMessageException {
         if (!openRequestIds.add(id)) {
--- a/daemon/src/main/java/cedarrudder/transport/ServiceState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ServiceState.java
@@ -1,27 +1,27 @@
 package cedarrudder.transport;
 
 /**
- * Whether the proxy serves, as one table of states and events. Two things make a state: how far the
- * process is from its end, and whether operators have drained the proxy, which outlives the
+ * Whether the proxy serves, as a table of states and events. A state consists of the phase of the
+ * process, and whether operators have drained the proxy; the latter is persisted beyond the
  * process.
  *
- * @param drained whether operators send clients away
+ * @param drained whether operators have drained the proxy
  */
 record ServiceState(Phase phase, boolean drained) {
 
-    /** How far the process is from its end. */
+    /** The phases of the process. */
     enum Phase {
         SERVING,
         /**
-         * SIGTERM came and nobody takes over: what is taken is answered, then clients are left
-         * alone.
+         * SIGTERM was received and there is no successor: accepted requests are answered, then
+         * clients are disconnected.
          */
         ENDING,
-        /** SIGTERM came and a successor serves at the same address. */
+        /** SIGTERM was received and a successor serves at the same address. */
         REPLACED
     }
 
-    /** What changes it. */
+    /** The events that change the state. */
     enum Event {
         DRAIN,
         RESUME,
@@ -31,7 +31,7 @@
 
     static final ServiceState INITIAL = new ServiceState(Phase.SERVING, false);
 
-    /** The state after an event. The first SIGTERM decides how the process ends. */
+    /** Returns the state after an event. The first SIGTERM decides how the process ends. */
     ServiceState after(Event event) {
         return switch (event) {
             case DRAIN -> new ServiceState(phase, true);
@@ -43,13 +43,14 @@
     }
 
     /**
-     * Whether clients at this address are welcome: a successor's process takes those who come now.
+     * Returns whether new clients at this address are accepted; during a handover, the successor
+     * accepts them.
      */
     boolean isHealthy() {
         return phase != Phase.ENDING && !drained;
     }
 
-    /** Whether this process goes on. */
+    /** Returns whether no signal to end has been received. */
     boolean isServing() {
         return phase == Phase.SERVING;
     }
--- a/daemon/src/main/java/cedarrudder/transport/SkewedClock.java
+++ b/daemon/src/main/java/cedarrudder/transport/SkewedClock.java
@@ -1,7 +1,7 @@
 package cedarrudder.transport;
 
 /**
- * A clock for trials of many replicas, on which time passes a little faster or slower than it does.
+ * A clock for tests of many replicas that runs a little faster or slower than the machine's clock.
  */
 public final class SkewedClock {
 
@@ -11,7 +11,9 @@
     private final double rate;
 
     /**
-     * @param millionths time passes this much faster than it does; negative: slower
+     * Creates a clock that starts at the present time of the machine's clock.
+     *
+     * @param millionths how much faster the clock runs, in millionths; negative: slower
      */
     public SkewedClock(int millionths) {
         this.rate = 1 + millionths / PARTS_PER_MILLION;
@@ -21,14 +23,13 @@
         return skewed(System.nanoTime());
     }
 
-    /** What it says when the machine's clock says this. */
+    /** Returns the time of this clock at a time of the machine's clock. */
     long skewed(long machine) {
         return startedAt + (long) ((machine - startedAt) * rate);
     }
 
     /**
-     * This much time of the machine's clock takes that much of this one, or a little more;
-     * nanoseconds.
+     * Converts a duration of this clock to one of the machine's clock, rounded up; in nanoseconds.
      */
     long toMachineNanos(long nanos) {
         return (long) Math.ceil(nanos / rate) + 1;
--- a/daemon/src/main/java/cedarrudder/transport/UpstreamEndpoint.java
+++ b/daemon/src/main/java/cedarrudder/transport/UpstreamEndpoint.java
@@ -5,10 +5,13 @@
 import java.util.Deque;
 import java.util.List;
 
-/** Where an endpoint is reached, and the idle connections to it: the one used last comes last. */
+/** The address of an endpoint, and the idle connections to it in the order of their last use. */
 final class UpstreamEndpoint {
 
-    /** This many attempts in a row that nobody answered make an endpoint a failing one. */
+    /**
+     * The number of consecutive attempts without a response after which an endpoint counts as
+     * failing.
+     */
     private static final int FAILING_AFTER = 5;
 
     private final InetSocketAddress address;
@@ -25,7 +28,7 @@
         return address;
     }
 
-    /** Its last start that is known, by the loop's clock; 0: long ago. */
+    /** Returns the latest known start of the endpoint, by the event loop's clock; 0: long ago. */
     long startedAt() {
         return startedAt;
     }
@@ -36,12 +39,12 @@
 
     // ---- idle connections
 
-    /** Takes the connection that was used last; null where none is idle. */
+    /** Removes and returns the connection that was used last; null if none is idle. */
     EndpointConnection takeIdle() {
         return idle.pollLast();
     }
 
-    /** The connection that has been idle longest; null where none is. */
+    /** Returns the connection that has been idle longest; null if none is. */
     EndpointConnection oldestIdle() {
         return idle.peekFirst();
     }
@@ -58,30 +61,36 @@
         List.copyOf(idle).forEach(EndpointConnection::close);
     }
 
-    // ---- its life
+    // // ---- state
 
-    /** Nothing is sent there any more; attempts in flight hold on to it until they end. */
+    /**
+     * Marks the endpoint as removed and closes its idle connections; attempts in flight refer to it
+     * until they end.
+     */
     void remove() {
         removed = true;
         closeIdle();
     }
 
-    /** Whether it was removed, or is reached elsewhere now. */
+    /** Returns whether the endpoint was removed, or has another address now. */
     boolean isRemoved() {
         return removed;
     }
 
-    /** It answered, whatever it said. */
+    /** Records a response, whatever its status. */
     void onAnswer() {
         failures = 0;
     }
 
-    /** An attempt there ended without an answer. */
+    /** Records an attempt that ended without a response. */
     void onFailure() {
         failures++;
     }
 
-    /** Whether the last attempts there all failed, without an answer between them. */
+    /**
+     * Returns whether the last attempts at the endpoint all failed, without a response between
+     * them.
+     */
     boolean isFailing() {
         return failures >= FAILING_AFTER;
     }
--- a/daemon/src/main/java/cedarrudder/transport/package-info.java
+++ b/daemon/src/main/java/cedarrudder/transport/package-info.java
@@ -1,7 +1,7 @@
 /**
- * All that uses Netty's channels: the event loop and its clock, the HTTP server, the endpoint
- * connections, discovery's connection, the administrative address and the datagrams between
- * replicas.
+ * Contains all code that uses Netty's channels: the event loop and its clock, the HTTP server, the
+ * endpoint connections, the connection to discovery, the administrative listener, and the datagrams
+ * between replicas.
  *
  * <p>One event loop owns all state of this package; there are no locks.
  *
--- a/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/BodyWriterTest.java
@@ -14,15 +14,16 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A body whose last bytes are still on their way. */
+/** Tests a body whose last bytes are still being written. */
 public class BodyWriterTest {
 
     /**
-     * Detects a client that leaves as the last of its answer is written: the news of that write
-     * came to a connection that had been cleared away already, and threw there.
+     * A client may disconnect while the last bytes of its response are being written: the result of
+     * that write was then reported to a connection that had been cleaned up already, and threw an
+     * exception.
      */
     @Test
-    public void oneThatWasStoppedTellsNobodyOfItsLastWrite() {
+    public void aStoppedWriterDoesNotReportItsLastWrite() {
         List<ChannelPromise> writes = new ArrayList<>();
         EmbeddedChannel channel =
                 new EmbeddedChannel(
@@ -33,13 +34,14 @@
                                     Object piece,
                                     ChannelPromise wrote) {
                                 writes.add(
-                                        wrote); // it stays there, as with a peer that doesn't read
+                                        wrote); // // the write stays pending, as with a peer that
+                                // doesn't read
                             }
                         });
-        List<String> told = new ArrayList<>();
+        List<String> notifications = new ArrayList<>();
         BodyFlow flow = new BodyFlow(new BufferAccount(BufferAccount.MAX));
         ProxyEventLoop loop = new ProxyEventLoop(new Logger(System.err));
-        BodyWriter pump =
+        BodyWriter writer =
                 new BodyWriter(
                         loop,
                         channel,
@@ -49,19 +51,19 @@
                         new BodyWriter.CompletionListener() {
                             @Override
                             public void onBodyWritten() {
-                                told.add("wrote");
+                                notifications.add("wrote");
                             }
 
                             @Override
                             public void onBodyFailed() {
-                                told.add("broke");
+                                notifications.add("broke");
                             }
                         });
         flow.put(new byte[10]);
         flow.end();
-        pump.stop();
+        writer.stop();
         writes.get(writes.size() - 1).setFailure(new IOException("reset"));
-        assertEquals(told, List.of());
+        assertEquals(notifications, List.of());
         loop.stop();
     }
 }
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionStateTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** The life of a client's connection, transition by transition. */
+/** Tests the transitions between the states of a client connection. */
 public class ClientConnectionStateTest {
 
     private static final Map<ClientConnectionState, Map<Event, ClientConnectionState>> LEGAL =
@@ -63,7 +63,7 @@
                     ClientConnectionState.CLOSED, Map.of());
 
     @Test
-    public void eachEventInEachStateIsAsTheTableSays() {
+    public void eachEventInEachStateHasTheExpectedResult() {
         for (ClientConnectionState state : ClientConnectionState.values()) {
             for (Event event : Event.values()) {
                 ClientConnectionState next =
@@ -76,17 +76,17 @@
     }
 
     @Test
-    public void eachStateIsReachedFromTheFirst() {
+    public void everyStateCanBeReachedFromNew() {
         assertEquals(
-                reached(ClientConnectionState.NEW), EnumSet.allOf(ClientConnectionState.class));
+                reachable(ClientConnectionState.NEW), EnumSet.allOf(ClientConnectionState.class));
     }
 
-    /** Detects a request that is taken, or an answer written, behind the end of our output. */
+    /** A request must not be accepted, nor a response written, after the end of the output. */
     @Test
-    public void noWayLeadsBackFromTheEnd() {
+    public void anEndingConnectionNeverAcceptsRequestsAgain() {
         for (ClientConnectionState state : ClientConnectionState.values()) {
             if (state.isEnding()) {
-                for (ClientConnectionState later : reached(state)) {
+                for (ClientConnectionState later : reachable(state)) {
                     assertTrue(
                             later.isEnding() && !later.acceptsRequests(),
                             later + " behind " + state);
@@ -94,22 +94,22 @@
             }
         }
         assertFalse(
-                reached(ClientConnectionState.LINGERING)
+                reachable(ClientConnectionState.LINGERING)
                         .contains(ClientConnectionState.SENDING_LAST_RESPONSE));
     }
 
-    private static Set<ClientConnectionState> reached(ClientConnectionState from) {
-        Set<ClientConnectionState> reached = EnumSet.of(from);
-        for (int before = 0; before < reached.size(); ) {
-            before = reached.size();
-            for (ClientConnectionState state : EnumSet.copyOf(reached)) {
+    private static Set<ClientConnectionState> reachable(ClientConnectionState from) {
+        Set<ClientConnectionState> reachable = EnumSet.of(from);
+        for (int before = 0; before < reachable.size(); ) {
+            before = reachable.size();
+            for (ClientConnectionState state : EnumSet.copyOf(reachable)) {
                 for (Event event : Event.values()) {
                     if (state.on(event) != null) {
-                        reached.add(state.on(event));
+                        reachable.add(state.on(event));
                     }
                 }
             }
         }
-        return reached;
+        return reachable;
     }
 }
--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -97,7 +97,7 @@
                     new RequestForwarder<>(
                             hands -> {
                                 actions = hands;
-                                return Played.by(
+                                return StubFactory.create(
                                         LoadBalancer.class,
                                         (event, with) -> {
                                             if (event.equals("onRequest")) {
@@ -117,8 +117,8 @@
                             log);
             driver.attach(
                     new NoNodes(),
-                    Played.by(EndpointDiscovery.class, (action, with) -> {}),
-                    Played.by(PeerTransport.class, (action, with) -> {}));
+                    StubFactory.create(EndpointDiscovery.class, (action, with) -> {}),
+                    StubFactory.create(PeerTransport.class, (action, with) -> {}));
             RequestHeaders fields =
                     new RequestHeaders(
                             SettingsReader.read(
--- a/daemon/src/test/java/cedarrudder/transport/EndpointConnectionPoolTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionPoolTest.java
@@ -32,11 +32,11 @@
 import java.util.function.BiConsumer;
 import org.testng.annotations.Test;
 
-/** What the balancer hears of this process's own shortage. */
+/** Tests what is reported to the balancer if this process itself runs out of resources. */
 public class EndpointConnectionPoolTest {
 
-    /** Who is owed an answer, and waits for it. */
-    private static final class Caller implements Exchange.Reply<HttpMessage> {
+    /** A client that waits for its response. */
+    private static final class WaitingClient implements Exchange.Reply<HttpMessage> {
         @Override
         public void served(HttpMessage answer) {}
 
@@ -53,40 +53,44 @@
     }
 
     /**
-     * Detects an endpoint that counts as failing, and as out of connections, for what it never saw:
-     * this process has no room for a connection to it.
+     * An endpoint must not count as failing, or as out of connections, because this process has no
+     * capacity for a connection to it.
      */
     @Test
-    public void aProbeWithoutRoomForAConnectionSaysNothingOfItsNode() throws Exception {
+    public void aProbeWithoutCapacityForItsConnectionEndsAsNotStarted() throws Exception {
         assertEquals(
-                play(
-                        (driver, channels) -> {
-                            channels.sendProbe(1);
-                            channels.sendProbe(1);
+                firstOutcome(
+                        (forwarder, pool) -> {
+                            pool.sendProbe(1);
+                            pool.sendProbe(1);
                         }),
                 Outcome.NOT_STARTED,
-                "the second, for which there is no room");
+                "the second probe, for which there is no connection");
     }
 
-    /** Detects a client that waits until its deadline for a request that could not be made. */
+    /** Otherwise a client would wait until its deadline for a request that can't be encoded. */
     @Test
-    public void aRequestThatCanNotBeMadeIsMootAtOnce() throws Exception {
+    public void aRequestThatCanNotBeEncodedEndsAsNotStartedAtOnce() throws Exception {
         LoadBalancer.Request request =
                 new LoadBalancer.Request(1, 0, 0, Long.MAX_VALUE, 0, false, false, 0);
         assertEquals(
-                play(
-                        (driver, channels) ->
-                                driver.accept(
+                firstOutcome(
+                        (forwarder, pool) ->
+                                forwarder.accept(
                                         new Exchange<>(
                                                 request,
                                                 new HttpMessage(null, null),
-                                                new Caller()))),
+                                                new WaitingClient()))),
                 Outcome.NOT_STARTED);
     }
 
-    /** Returns what the balancer hears first, which sends each request on to a silent endpoint. */
-    private static Object play(
-            BiConsumer<RequestForwarder<HttpMessage, HttpMessage>, EndpointConnectionPool> story)
+    /**
+     * Runs actions against a pool with one silent endpoint, to which the balancer sends each
+     * request; returns the first outcome that is reported to the balancer.
+     */
+    private static Object firstOutcome(
+            BiConsumer<RequestForwarder<HttpMessage, HttpMessage>, EndpointConnectionPool>
+                    actionsToRun)
             throws Exception {
         ProxyEventLoop loop =
                 new ProxyEventLoop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
@@ -94,17 +98,17 @@
                 SettingsReader.read(
                         JsonObject.parse(Files.readString(Path.of("example", "config.json")))
                                 .child("settings"));
-        BlockingQueue<Object> told = new LinkedBlockingQueue<>();
-        RequestForwarder<HttpMessage, HttpMessage> driver =
+        BlockingQueue<Object> outcomes = new LinkedBlockingQueue<>();
+        RequestForwarder<HttpMessage, HttpMessage> forwarder =
                 new RequestForwarder<>(
                         actions ->
-                                Played.by(
+                                StubFactory.create(
                                         LoadBalancer.class,
                                         (event, with) -> {
                                             if (event.equals("onRequest")) {
                                                 actions.startAttempt(1, 1, 0);
                                             } else if (!event.equals("startDenial")) {
-                                                told.add(
+                                                outcomes.add(
                                                         with[event.equals("onProbeEnded") ? 2 : 4]);
                                             }
                                         }),
@@ -112,22 +116,22 @@
                         loop,
                         new Logger(System.err));
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            EndpointConnectionPool channels =
+            EndpointConnectionPool pool =
                     new EndpointConnectionPool(
                             loop,
-                            driver,
+                            forwarder,
                             site,
                             EndpointLimits.DEFAULT,
                             new EndpointLimits.Bounds(1, 1),
                             new RequestMetrics(1),
                             new BufferAccount(1));
-            driver.attach(
-                    channels,
-                    Played.by(EndpointDiscovery.class, (action, with) -> {}),
-                    Played.by(PeerTransport.class, (action, with) -> {}));
+            forwarder.attach(
+                    pool,
+                    StubFactory.create(EndpointDiscovery.class, (action, with) -> {}),
+                    StubFactory.create(PeerTransport.class, (action, with) -> {}));
             loop.run(
                     () -> {
-                        channels.onEndpoints(
+                        pool.onEndpoints(
                                 new EndpointList(
                                         1,
                                         true,
@@ -145,9 +149,9 @@
                                                         (InetSocketAddress)
                                                                 silent.getLocalSocketAddress())),
                                         List.of()));
-                        story.accept(driver, channels);
+                        actionsToRun.accept(forwarder, pool);
                     });
-            return told.poll(20, TimeUnit.SECONDS);
+            return outcomes.poll(20, TimeUnit.SECONDS);
         } finally {
             loop.stop();
         }
--- a/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
@@ -12,11 +12,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Every event in every state, against what is said here of each. */
+/** Tests every event in every state against a table. */
 public class EndpointConnectionStateTest {
 
-    /** A way to each state. */
-    private static final Map<State, List<Event>> WAYS =
+    /** Events that lead to each state. */
+    private static final Map<State, List<Event>> EVENTS_TO_REACH =
             new EnumMap<>(
                     Map.of(
                             State.CONNECTING, List.of(),
@@ -36,19 +36,22 @@
                             State.ENDED, List.of(Event.ENDED)));
 
     private static EndpointConnectionState in(State state) {
-        EndpointConnectionState life = new EndpointConnectionState();
-        for (Event event : WAYS.get(state)) {
-            assertTrue(life.on(event), event + " on the way to " + state);
+        EndpointConnectionState connectionState = new EndpointConnectionState();
+        for (Event event : EVENTS_TO_REACH.get(state)) {
+            assertTrue(connectionState.on(event), event + " on the way to " + state);
         }
-        assertTrue(life.is(state));
-        return life;
+        assertTrue(connectionState.is(state));
+        return connectionState;
     }
 
-    /** Each row: the state, the event, and the state after it; null where it must not happen. */
+    /**
+     * Returns rows of the state, the event, and the state after it; null if the event is illegal.
+     */
     @DataProvider
-    public Object[][] steps() {
+    public Object[][] transitions() {
         State[][] table = {
-            // CONNECTED, REQUEST_STARTED, REQUEST_WRITTEN, STREAM_STARTED, ANSWER_COMPLETE, ENDED
+            // // CONNECTED, REQUEST_STARTED, REQUEST_WRITTEN, STREAM_STARTED, ANSWER_COMPLETE,
+            // ENDED
             {State.IDLE, null, null, null, null, State.ENDED},
             {null, State.SENDING, null, null, null, State.ENDED},
             {null, null, State.AWAITING_ANSWER, null, null, State.ENDED},
@@ -67,15 +70,18 @@
     }
 
     @Test(dataProvider = "steps")
-    public void eachEventInEachStateDoesWhatIsSaid(State from, Event event, State to) {
-        EndpointConnectionState life = in(from);
-        assertEquals(life.on(event), to != null);
-        assertTrue(life.is(to == null ? from : to), life.toString());
+    public void eachEventInEachStateHasTheExpectedResult(State from, Event event, State to) {
+        EndpointConnectionState connectionState = in(from);
+        assertEquals(connectionState.on(event), to != null);
+        assertTrue(connectionState.is(to == null ? from : to), connectionState.toString());
     }
 
-    /** Detects a second request on a connection whose first is not answered whole. */
+    /**
+     * A second request must not be sent on a connection before the response to the first is
+     * complete.
+     */
     @Test
-    public void nothingElseIsCarriedBetweenARequestAndItsAnswer() {
+    public void noRequestStartsBeforeThePreviousResponseIsComplete() {
         for (State busy : List.of(State.SENDING, State.AWAITING_ANSWER, State.STREAMING)) {
             assertFalse(in(busy).on(Event.REQUEST_STARTED), busy.toString());
         }
--- a/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
@@ -40,19 +40,19 @@
 import java.util.function.BiConsumer;
 import org.testng.annotations.Test;
 
-/** The moment in which a listener opens its door. */
+/** Tests a server whose listening socket is about to be bound. */
 public class HttpServerTest {
 
     private static final int TIMES = 200;
     private static final int WAITING = 30;
 
     /**
-     * Detects clients that come before the thread that opens the door has told so: for them the
-     * door was not there, or was the one before. Each opening is met by one, at a bound that lets
-     * none in.
+     * A client may connect before the thread that binds the listening socket has reported so; for
+     * it the socket was missing, or was the previous one. One client connects at each bind, at a
+     * limit that admits none.
      */
     @Test
-    public void aCallerThatComesAtOnceFindsTheBoundInForce() throws Exception {
+    public void aClientThatConnectsAtOnceIsSubjectToTheLimit() throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         ProxyEventLoop loop = new ProxyEventLoop(new Logger(new PrintStream(log, true)));
         for (int i = 0; i < TIMES; i++) {
@@ -81,20 +81,20 @@
     }
 
     /**
-     * Detects a client that waits for good for an answer that can't be made, for want of memory
-     * say, and against a module that never hears how the attempt ended.
+     * If a response can't be encoded, for example for lack of memory, the client must not wait for
+     * ever, and the balancer must learn how the attempt ended.
      */
     @Test
-    public void anAnswerThatCanNotBeMadeEndsItsCallersConnection() throws Exception {
+    public void aResponseThatCanNotBeEncodedEndsItsClientsConnection() throws Exception {
         answered((driver, attempt) -> driver.served(attempt, new HttpMessage(null, null), null));
     }
 
     /**
-     * Detects the same where the answer flows, and against an endpoint that goes on with it for
-     * nobody.
+     * The same for a streamed response, which the endpoint must not continue to send without a
+     * recipient.
      */
     @Test
-    public void anAnswerThatFlowsAndCanNotBeginEndsItsCallersConnection() throws Exception {
+    public void aStreamedResponseThatCanNotBeginEndsItsClientsConnection() throws Exception {
         BodyRemainder rest = new BodyRemainder(new BodyFlow(new BufferAccount(1000)), 100_000);
         BrokenNode node =
                 answered(
@@ -105,12 +105,12 @@
     }
 
     /**
-     * Detects connections that the kernel has accepted being reset as a successor takes over: all
-     * that wait at the door when it closes are let in. The loop connects them itself, so none is
-     * accepted before.
+     * The kernel resets the connections that it has accepted when the socket is closed for a
+     * successor: all that wait to be accepted must be accepted first. The event loop itself
+     * connects them, so that none is accepted earlier.
      */
     @Test
-    public void whoWaitsAtTheDoorWhenASuccessorTakesOverIsAnswered() throws Exception {
+    public void connectionsThatWaitToBeAcceptedDuringAHandoverAreAnswered() throws Exception {
         ProxyEventLoop loop =
                 new ProxyEventLoop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
         HttpServer listener =
@@ -153,13 +153,13 @@
     }
 
     /**
-     * Detects requests that the kernel has as their connections are closed, which a reset would
-     * take away: one on an idle connection, and one on a connection that waits at the door. The
-     * loop itself writes them, behind its last look and right before it closes, so that it has read
-     * none by then.
+     * Requests that the kernel has received when their connections are closed would be lost by a
+     * reset: one on an idle connection, and one on a connection that waits to be accepted. The
+     * event loop itself writes them, after its last read and right before the close, so that it has
+     * read none by then.
      */
     @Test
-    public void whatHasComeByTheTimeOfTheCloseIsAnsweredAndNotReset() throws Exception {
+    public void requestsReceivedBeforeTheCloseAreAnsweredAndNotReset() throws Exception {
         ProxyEventLoop loop =
                 new ProxyEventLoop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
         RequestHeaders fields = fields();
@@ -188,7 +188,7 @@
                                 loop.now()
                                         + Math.min(3_000_000_000L, fields.longestWait())
                                         + 100_000_000L;
-                        // Both tasks are overdue once the loop is free again, and run in this
+                        // // Both tasks are overdue once the loop is free again, and run in this
                         // order.
                         loop.at(close - 100_000_000L, () -> sleep(200));
                         loop.at(
@@ -226,9 +226,12 @@
         }
     }
 
-    /** Detects a fault in one look at the connections ending all bounds on their time. */
+    /**
+     * An exception in one sweep over the connections must not end the sweeps, and with them all
+     * timeouts.
+     */
     @Test
-    public void connectionsAreLookedOverAfterAFaultInALook() throws Exception {
+    public void sweepsContinueAfterAnExceptionInASweep() throws Exception {
         AtomicBoolean broken = new AtomicBoolean();
         Logger log =
                 new Logger(
@@ -282,7 +285,7 @@
                         .module());
     }
 
-    /** Has an endpoint answer what can't be passed on. */
+    /** Runs a test with an endpoint whose response can't be passed on. */
     private static BrokenNode answered(
             BiConsumer<
                             RequestForwarder<HttpMessage, HttpMessage>,
@@ -295,7 +298,7 @@
         RequestForwarder<HttpMessage, HttpMessage> driver =
                 new RequestForwarder<>(
                         actions ->
-                                Played.by(
+                                StubFactory.create(
                                         LoadBalancer.class,
                                         (event, with) -> {
                                             if (event.equals("onRequest")) {
@@ -313,8 +316,8 @@
         BrokenNode node = new BrokenNode(driver, answer, new LinkedBlockingQueue<>());
         driver.attach(
                 node,
-                Played.by(EndpointDiscovery.class, (action, with) -> {}),
-                Played.by(PeerTransport.class, (action, with) -> {}));
+                StubFactory.create(EndpointDiscovery.class, (action, with) -> {}),
+                StubFactory.create(PeerTransport.class, (action, with) -> {}));
         InetSocketAddress at =
                 new HttpServer(
                                 loop,
@@ -343,7 +346,7 @@
         return node;
     }
 
-    /** An endpoint whose answers can't be passed on. */
+    /** An endpoint whose responses can't be passed on. */
     private record BrokenNode(
             RequestForwarder<HttpMessage, HttpMessage> driver,
             BiConsumer<
@@ -375,14 +378,14 @@
         public void closeIdleConnections(long endpoint) {}
     }
 
-    /** Comes as soon as anybody listens there, and goes without a trace. */
+    /** Connects as soon as the server listens there, and disconnects without sending anything. */
     private static void connect(int port) {
         while (true) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.setSoLinger(true, 0);
                 return;
             } catch (IOException e) {
-                // not yet
+                // // not yet
             }
         }
     }
--- a/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/MembershipServiceTest.java
@@ -30,15 +30,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Membership over datagrams: two peers are played by the test, which reads and writes bytes by
- * hand.
+ * Tests membership over datagrams. The test simulates two peers, which encode and decode messages
+ * byte by byte.
  */
 public class MembershipServiceTest {
 
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
     private static final long MILLI = 1_000_000L;
 
-    /** Quick, so that the stories are; no verdict hangs on how quick. */
+    /** Short intervals, so that the tests are quick; no assertion depends on them. */
     private static final MembershipSettings QUICK =
             new MembershipSettings(50 * MILLI, 20 * MILLI, 2, 1, 1, 1, 3, 2, 2);
 
@@ -62,10 +62,10 @@
         }
     }
 
-    /** A peer that answers each question, until it is told to be silent. */
+    /** A simulated peer that answers each ping, until it is set to be silent. */
     private static final class Peer {
         final DatagramSocket socket;
-        final BlockingQueue<byte[]> heard = new LinkedBlockingQueue<>();
+        final BlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         volatile long incarnation = 7;
         volatile boolean silent;
         private final int number;
@@ -84,7 +84,7 @@
                     DatagramPacket in = new DatagramPacket(new byte[300], 300);
                     socket.receive(in);
                     byte[] bytes = Arrays.copyOf(in.getData(), in.getLength());
-                    heard.add(bytes);
+                    received.add(bytes);
                     if (!silent && (bytes[1] & 3) == PING) {
                         byte[] answer = message(ACK, number(ByteBuffer.wrap(bytes, 2, 9)), number);
                         socket.send(
@@ -92,14 +92,17 @@
                     }
                 }
             } catch (IOException e) {
-                // closed by the test
+                // // closed by the test
             }
         }
 
-        /** All numbers but the question's are below 128, and so take one byte. */
-        byte[] message(byte kind, long question, int subject) {
+        /**
+         * Encodes a message. All numbers but that of the ping are below 128, and so are one byte
+         * long.
+         */
+        byte[] message(byte kind, long pingNumber, int subject) {
             ByteBuffer out = ByteBuffer.allocate(30).put(ROOM).put((byte) (VERSION | kind));
-            for (long rest = question; ; rest >>>= 7) {
+            for (long rest = pingNumber; ; rest >>>= 7) {
                 out.put((byte) (rest & 127 | (rest > 127 ? 128 : 0)));
                 if (rest <= 127) {
                     break;
@@ -112,29 +115,29 @@
             return Arrays.copyOf(out.array(), out.position());
         }
 
-        /** Waits for a message that says this of an instance. */
-        void awaitNews(int instance, byte standing) throws InterruptedException {
-            long until = System.nanoTime() + PATIENCE_MILLIS * MILLI;
+        /** Waits for a message that reports this state of an instance. */
+        void awaitReport(int instance, byte standing) throws InterruptedException {
+            long until = System.nanoTime() + TIMEOUT_MILLIS * MILLI;
             while (true) {
                 byte[] next =
-                        heard.poll(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS);
-                assertNotNull(next, "no such news came");
-                ByteBuffer in = ByteBuffer.wrap(next, 2, next.length - 2 - 4); // the checksum
+                        received.poll(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS);
+                assertNotNull(next, "no such message was received");
+                ByteBuffer in = ByteBuffer.wrap(next, 2, next.length - 2 - 4); // // the checksum
                 for (int i = 0; i < 4; i++) {
-                    number(in); // question, sender, its life, subject
+                    number(in); // // ping number, sender, sender's incarnation, subject
                 }
-                in.getInt(); // the digest
+                in.getInt(); // // the digest
                 if ((next[1] & WINDOW) != 0) {
                     number(in);
                     in.position(in.position() + 1 + in.get(in.position()));
                 }
                 while (in.hasRemaining()) {
-                    long what = number(in);
-                    number(in); // its life
-                    if ((what & 3) == SUSPECT) {
+                    long entry = number(in);
+                    number(in); // // incarnation
+                    if ((entry & 3) == SUSPECT) {
                         number(in);
                     }
-                    if (what == (instance << 2 | standing)) {
+                    if (entry == (instance << 2 | standing)) {
                         return;
                     }
                 }
@@ -150,7 +153,7 @@
     private MembershipService membership;
     private InetSocketAddress own;
 
-    private LoadBalancer module() {
+    private LoadBalancer balancer() {
         return (LoadBalancer)
                 Proxy.newProxyInstance(
                         LoadBalancer.class.getClassLoader(),
@@ -173,10 +176,10 @@
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             own = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        RequestForwarder<HttpMessage, HttpMessage> driver =
-                new RequestForwarder<>(actions -> module(), 1, loop, new Logger(System.err));
+        RequestForwarder<HttpMessage, HttpMessage> forwarder =
+                new RequestForwarder<>(actions -> balancer(), 1, loop, new Logger(System.err));
         PeerSocket socket =
-                new PeerSocket(loop, driver, List.of(own, address(one), address(two)), null);
+                new PeerSocket(loop, forwarder, List.of(own, address(one), address(two)), null);
         socket.listen(own, false);
         membership =
                 new MembershipService(
@@ -187,7 +190,7 @@
                         0,
                         1_000,
                         new SplittableRandom(3),
-                        driver::liveReplicas,
+                        forwarder::liveReplicas,
                         null);
         loop.run(membership::start);
     }
@@ -204,16 +207,16 @@
     }
 
     private void awaitLive(int expected) throws InterruptedException {
-        Integer next = live.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-        assertNotNull(next, "the module was not told");
+        Integer next = live.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        assertNotNull(next, "the balancer was not notified");
         assertEquals((int) next, expected);
     }
 
     @Test
-    public void theModuleIsToldOfADeathAndOfANewLife() throws Exception {
+    public void deathAndRecoveryAreReportedToTheBalancer() throws Exception {
         two.silent = true;
         awaitLive(2);
-        one.awaitNews(2, DEAD);
+        one.awaitReport(2, DEAD);
         assertTrue(log.toString().contains("member.died replica=2 live=2"), log.toString());
         two.incarnation = 8;
         two.silent = false;
@@ -222,36 +225,40 @@
     }
 
     /**
-     * Waits for messages to a peer, of which the last comes after the answers to those before it.
+     * Waits for this many messages to a peer; the last is sent after the answers to those before
+     * it.
      */
     private static void awaitMessages(Peer peer, int count) throws InterruptedException {
         for (int i = 0; i < count; i++) {
             assertNotNull(
-                    peer.heard.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "it is not asked");
+                    peer.received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
+                    "the peer was not pinged");
         }
     }
 
     @Test
-    public void theOldLifeIsNotBelievedThoughItAnswersAgain() throws Exception {
-        awaitMessages(two, 3); // its life is known from its answers
+    public void anIncarnationThatWasDeclaredDeadStaysDeadWhenItAnswersAgain() throws Exception {
+        awaitMessages(two, 3); // // its incarnation is known from its answers
         two.silent = true;
         awaitLive(2);
-        two.heard.clear();
+        two.received.clear();
         two.silent = false;
-        two.awaitNews(2, DEAD); // it is asked, and told what is said of it; its old life answers
-        two.awaitNews(2, DEAD);
-        assertTrue(live.isEmpty(), "an old life was believed");
+        two.awaitReport(
+                2, DEAD); // // it is pinged, with its own death in the message; the old incarnation
+        // answers
+        two.awaitReport(2, DEAD);
+        assertTrue(live.isEmpty(), "a dead incarnation counts as live");
     }
 
     @Test
-    public void itSaysThatItLeaves() throws Exception {
+    public void leavingIsAnnouncedToAllPeers() throws Exception {
         loop.run(membership::leave);
-        one.awaitNews(0, LEFT);
-        two.awaitNews(0, LEFT);
+        one.awaitReport(0, LEFT);
+        two.awaitReport(0, LEFT);
     }
 
     @Test
-    public void garbageAndStrangersChangeNothing() throws Exception {
+    public void invalidDatagramsAndUnknownSendersAreIgnored() throws Exception {
         SplittableRandom random = new SplittableRandom(11);
         try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 2_000; i++) {
--- a/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/PeerSocketTest.java
@@ -22,22 +22,22 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Datagrams between proxies, with one of them played by the test. */
+/** Tests the datagrams between proxies; the test simulates one of the proxies. */
 public class PeerSocketTest {
 
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> messages = new LinkedBlockingQueue<>();
 
-    /** A module that only notes the messages it is told of. */
-    private LoadBalancer module() {
+    /** Returns a balancer that only records the peer messages that it receives. */
+    private LoadBalancer balancer() {
         return (LoadBalancer)
                 Proxy.newProxyInstance(
                         LoadBalancer.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
                         (proxy, method, arguments) -> {
                             if (method.getName().equals("onPeerMessage")) {
-                                told.add(arguments[1] + " " + text((byte[]) arguments[2], 4));
+                                messages.add(arguments[1] + " " + text((byte[]) arguments[2], 4));
                             }
                             return null;
                         });
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void messagesGoBothWaysAndStrangersAreNotHeard() throws Exception {
+    public void messagesAreExchangedAndUnknownSendersAreRejected() throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         ProxyEventLoop loop = new ProxyEventLoop(new Logger(new PrintStream(log, true)));
         InetAddress here = InetAddress.getLoopbackAddress();
@@ -58,17 +58,17 @@
         }
         try (DatagramSocket other = new DatagramSocket(0, here);
                 DatagramSocket stranger = new DatagramSocket(0, here)) {
-            other.setSoTimeout(PATIENCE_MILLIS);
-            RequestForwarder<HttpMessage, HttpMessage> driver =
-                    new RequestForwarder<>(actions -> module(), 1, loop, new Logger(System.err));
+            other.setSoTimeout(TIMEOUT_MILLIS);
+            RequestForwarder<HttpMessage, HttpMessage> forwarder =
+                    new RequestForwarder<>(actions -> balancer(), 1, loop, new Logger(System.err));
             PeerSocket socket =
                     new PeerSocket(
                             loop,
-                            driver,
+                            forwarder,
                             List.of(own, (InetSocketAddress) other.getLocalSocketAddress()),
                             null);
             socket.listen(own, false);
-            loop.run(() -> socket.send(-1, new byte[] {1})); // there is no address for all
+            loop.run(() -> socket.send(-1, new byte[] {1})); // // there is no broadcast address
             loop.run(() -> socket.send(1, "hello".getBytes(StandardCharsets.UTF_8)));
             DatagramPacket packet = new DatagramPacket(new byte[300], 300);
             other.receive(packet);
@@ -76,10 +76,10 @@
             stranger.send(new DatagramPacket("psst".getBytes(StandardCharsets.UTF_8), 4, own));
             other.send(new DatagramPacket(new byte[257], 257, own));
             other.send(new DatagramPacket("back".getBytes(StandardCharsets.UTF_8), 4, own));
-            assertEquals(told.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "1 back");
-            assertTrue(told.isEmpty());
+            assertEquals(messages.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "1 back");
+            assertTrue(messages.isEmpty());
             BlockingQueue<String> others = new LinkedBlockingQueue<>();
-            CountDownLatch heard = new CountDownLatch(1);
+            CountDownLatch handlersSet = new CountDownLatch(1);
             loop.run(
                     () -> {
                         socket.setHandler(
@@ -88,15 +88,15 @@
                         socket.setHandler(
                                 (byte) 0xa7,
                                 (from, bytes) -> others.add(from + " a7 " + bytes.length));
-                        heard.countDown();
+                        handlersSet.countDown();
                     });
-            assertTrue(heard.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+            assertTrue(handlersSet.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             for (int first : new int[] {0xa6, 'x', 0xa7}) {
                 other.send(new DatagramPacket(new byte[] {(byte) first, 1, 2, 3}, 4, own));
             }
-            assertEquals(others.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "1 a6 4");
-            assertEquals(others.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "1 a7 4");
-            assertTrue(told.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS).startsWith("1 x"));
+            assertEquals(others.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "1 a6 4");
+            assertEquals(others.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "1 a7 4");
+            assertTrue(messages.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).startsWith("1 x"));
             assertEquals(log.toString(StandardCharsets.UTF_8).lines().count(), 3, log.toString());
         } finally {
             loop.stop();
--- a/daemon/src/test/java/cedarrudder/transport/ProxyEventLoopTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ProxyEventLoopTest.java
@@ -14,19 +14,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.testng.annotations.Test;
 
-/** The loop owns all that runs: whatever Netty would tell elsewhere is told there. */
+/** Tests that all results are reported on the event loop, and the skewed clock. */
 public class ProxyEventLoopTest {
 
     /**
-     * Detects the balancer, the driver and the clients being worked on by two threads at once:
-     * where no descriptor is left Netty can't make the channel, and tells so on a thread of its
-     * own.
+     * If no descriptor is left, Netty can't create the channel, and reports that on a thread of its
+     * own. The balancer, the forwarder and the clients must not be used by two threads at once.
      */
     @Test
-    public void aChannelThatCanNotBeMadeIsToldOnTheLoop() throws Exception {
+    public void aChannelThatCanNotBeCreatedIsReportedOnTheLoop() throws Exception {
         ProxyEventLoop loop = new ProxyEventLoop(new Logger(System.err));
-        BlockingQueue<List<Object>> told = new LinkedBlockingQueue<>();
-        Bootstrap none =
+        BlockingQueue<List<Object>> results = new LinkedBlockingQueue<>();
+        Bootstrap failingBootstrap =
                 new Bootstrap()
                         .group(loop.group())
                         .handler(new ChannelInboundHandlerAdapter())
@@ -37,28 +36,33 @@
         loop.run(
                 () ->
                         loop.connect(
-                                none,
+                                failingBootstrap,
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
                                 done ->
-                                        told.add(
+                                        results.add(
                                                 List.of(
                                                         done.isSuccess(),
                                                         loop.group().next().inEventLoop()))));
-        assertEquals(Await.next("the failure", told), List.of(false, true));
+        assertEquals(Await.next("the failure", results), List.of(false, true));
         loop.stop();
     }
 
-    /** Detects a trial whose timers run before they are due on the replica's own clock. */
+    /**
+     * A timer must not run before it is due on the replica's own clock, nor the clock run at
+     * another rate than the given one.
+     */
     @Test
-    public void aClockThatDriftsKeepsItsPaceAndItsTimers() {
+    public void aSkewedClockHasTheGivenRateAndNoTimerIsEarly() {
         for (int millionths : new int[] {-1_000, 1, 1_000}) {
-            SkewedClock drift = new SkewedClock(millionths);
+            SkewedClock skewedClock = new SkewedClock(millionths);
             long begin = System.nanoTime();
             for (long passed : new long[] {1, 999, 1_000_000_007, 36_000_000_000_000L}) {
-                long own = drift.skewed(begin + passed) - drift.skewed(begin);
+                long own = skewedClock.skewed(begin + passed) - skewedClock.skewed(begin);
                 assertEquals(
                         own, passed + passed / 1e6 * millionths, 2, millionths + " of " + passed);
-                long due = drift.skewed(begin + drift.toMachineNanos(passed)) - drift.skewed(begin);
+                long due =
+                        skewedClock.skewed(begin + skewedClock.toMachineNanos(passed))
+                                - skewedClock.skewed(begin);
                 assertEquals(due, passed + 1.5, 1.5, millionths + ", a timer of " + passed);
             }
         }
--- a/daemon/src/test/java/cedarrudder/transport/ServiceStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ServiceStateTest.java
@@ -7,13 +7,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Every row of the table of the proxy's states. */
+/** Tests every row of the state table of the proxy. */
 public class ServiceStateTest {
 
     @DataProvider
     public static Object[][] rows() {
         return new Object[][] {
-            // life, drained: event, life, drained, healthy
+            // // phase, drained: event, phase, drained, healthy
             {Phase.SERVING, false, Event.DRAIN, Phase.SERVING, true, false},
             {Phase.SERVING, false, Event.RESUME, Phase.SERVING, false, true},
             {Phase.SERVING, false, Event.END, Phase.ENDING, false, false},
@@ -42,14 +42,14 @@
     }
 
     @Test(dataProvider = "rows")
-    public void everyEventHasADefinedResult(
-            Phase life,
+    public void everyEventHasTheExpectedResult(
+            Phase phase,
             boolean drained,
             Event event,
             Phase then,
             boolean drainedThen,
             boolean healthy) {
-        ServiceState next = new ServiceState(life, drained).after(event);
+        ServiceState next = new ServiceState(phase, drained).after(event);
         assertEquals(next, new ServiceState(then, drainedThen));
         assertEquals(next.isHealthy(), healthy);
         assertEquals(next.isServing(), then == Phase.SERVING);
--- a/daemon/src/test/java/cedarrudder/transport/Played.java
+++ b/daemon/src/test/java/cedarrudder/transport/StubFactory.java
@@ -3,13 +3,13 @@
 import java.lang.reflect.Proxy;
 import java.util.function.BiConsumer;
 
-/** Parts that a test plays itself. */
-final class Played {
+/** Creates stubs of interfaces. */
+final class StubFactory {
 
-    private Played() {}
+    private StubFactory() {}
 
-    /** Someone who does this with each call, by the method's name and the arguments. */
-    static <T> T by(Class<T> who, BiConsumer<String, Object[]> with) {
+    /** Returns a stub that passes the method's name and the arguments of each call to a handler. */
+    static <T> T create(Class<T> who, BiConsumer<String, Object[]> with) {
         return who.cast(
                 Proxy.newProxyInstance(
                         who.getClassLoader(),
