--- a/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
@@ -9,39 +9,44 @@
 import java.util.function.Consumer;
 
 /**
- * Decodes the HTTP/1.1 messages of one direction of a connection. Bytes may come split or joined in
- * any way. Memory is bounded: this much for a head, and this much for a body.
+ * Incremental decoder for the HTTP/1.1 messages of one direction of a connection. Bytes may arrive
+ * split or joined in any way. Memory is bounded by one limit for a head and one for a body.
  */
 public final class HttpDecoder {
 
-    /** The largest head that is read where nothing else is set. */
+    /** Default limit on the size of a head, in bytes. */
     public static final int MAX_HEAD = 16 * 1024;
 
-    /** The largest body that is passed on where nothing else is set, by the protocol. */
+    /** Default limit on the size of a forwarded body, in bytes, as the protocol sets it. */
     public static final int MAX_BODY = 64 * 1024;
 
     /**
-     * The largest body that is passed on in pieces where nothing else is set: twice what occurs.
+     * Default limit on the size of a body that is forwarded in pieces, in bytes: twice the size
+     * that occurs.
      */
     public static final int MAX_FLOW = 64 * 1024 * 1024;
 
-    /** The line before a chunk: a length of a few digits, and extensions that nobody reads. */
+    /**
+     * Limit on the line before a chunk, in bytes: a length of a few digits, and extensions, which
+     * are ignored.
+     */
     private static final int MAX_CHUNK_LINE = 256;
 
-    private static final byte[] EMPTY = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     /**
-     * Interim answers (1xx) before the final one; RFC 9110 15.2 sets no bound, and one is usual.
+     * Limit on interim responses (1xx) before the final one. RFC 9110 15.2 sets no limit; one
+     * interim response is usual.
      */
-    private static final int MAX_INTERIM = 16;
+    private static final int MAX_INTERIM_RESPONSES = 16;
 
-    private static final int FIRST_HEAD_SIZE = 512;
+    private static final int INITIAL_BUFFER_SIZE = 512;
 
-    /** Empty lines before a message: RFC 9112 2.2 asks for one to be skipped. */
-    private static final int MAX_BLANK = 8;
+    /** Limit on empty lines before a message. RFC 9112 2.2 asks for one to be skipped. */
+    private static final int MAX_EMPTY_LINES = 8;
 
-    /** No method that is registered is half as long. */
-    private static final int MAX_METHOD = 64;
+    /** Limit on the length of a method; no registered method is half as long. */
+    private static final int MAX_METHOD_LENGTH = 64;
 
     private enum State {
         HEAD,
@@ -60,21 +65,21 @@
     private OutputStream sink;
     private ByteArrayOutputStream collected;
 
-    private Consumer<byte[]> pieces;
-    private long declared;
+    private Consumer<byte[]> pieceConsumer;
+    private long declaredLength;
     private State state = State.HEAD;
-    private byte[] line = new byte[FIRST_HEAD_SIZE];
+    private byte[] lineBuffer = new byte[INITIAL_BUFFER_SIZE];
     private int lineLength;
     private int lineStart;
     private int headStart;
-    private int blank;
-    private MessageHead begun;
+    private int emptyLines;
+    private MessageHead partialHead;
     private MessageHead head;
-    private boolean continued;
+    private boolean continueReported;
     private long bodyLeft;
-    private long bodySeen;
-    private int trailerSeen;
-    private int interim;
+    private long bodyBytesRead;
+    private int trailerBytes;
+    private int interimResponses;
 
     private HttpDecoder(
             boolean requests,
@@ -91,114 +96,137 @@
         this.collected = collected;
     }
 
-    /** Decodes whole requests, with heads and bodies of up to this many bytes. */
+    /**
+     * Returns a decoder of whole requests, with heads and bodies of up to the given sizes in bytes.
+     */
     public static HttpDecoder ofRequests(int maxHead, int maxBody) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         return new HttpDecoder(true, maxHead, maxBody, body, body, Integer.MAX_VALUE);
     }
 
     /**
-     * Decodes messages of which this much of the body is collected, at most. Where there is more
-     * the decoder stands until {@link #flow} says where to.
+     * Returns a decoder that collects at most the first {@code window} bytes of a body. At a larger
+     * body the decoder stops reading until {@link #flow} names the consumer of the rest.
      *
-     * @param requests whether they are requests, else answers
-     * @param maxBody the largest body that is read, collected or not
+     * @param requests true to decode requests, false to decode responses
+     * @param maxBody limit on the whole body in bytes, collected or not
      */
     public static HttpDecoder ofFlows(boolean requests, int maxHead, long maxBody, int window) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         return new HttpDecoder(requests, maxHead, maxBody, body, body, window);
     }
 
-    /** Decodes whole answers, with heads and bodies of up to this many bytes. */
+    /**
+     * Returns a decoder of whole responses, with heads and bodies of up to the given sizes in
+     * bytes.
+     */
     public static HttpDecoder ofAnswers(int maxHead, int maxBody) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         return new HttpDecoder(false, maxHead, maxBody, body, body, Integer.MAX_VALUE);
     }
 
-    /** Decodes answers whose bodies go to a sink as they come, without a bound. */
+    /**
+     * Returns a decoder of responses that writes their bodies to a sink as the bytes arrive,
+     * without a limit.
+     */
     public static HttpDecoder ofStreams(OutputStream sink) {
         return new HttpDecoder(false, MAX_HEAD, Long.MAX_VALUE, sink, null, Long.MAX_VALUE);
     }
 
-    /** The head of the message at hand, or null before it is whole. */
+    /** Returns the head of the current message, or null before the head is complete. */
     public MessageHead head() {
         return head;
     }
 
     /**
-     * Whether the sender waits for a 100 before it sends the body of the request at hand (RFC 9110
-     * 10.1.1); true once for each request at most.
+     * Returns whether the client waits for a 100 (Continue) response before it sends the body of
+     * the current request (RFC 9110 10.1.1). Returns true at most once per request.
      */
     public boolean awaitsContinue() {
         boolean bodyNext =
                 requests
                         && head != null
-                        && bodySeen == 0
+                        && bodyBytesRead == 0
                         && (state == State.FIXED || state == State.CHUNK_LINE && lineLength == 0);
-        if (!bodyNext || continued) {
+        if (!bodyNext || continueReported) {
             return false;
         }
-        continued = true;
+        continueReported = true;
         return !head.isOld() && head.fields().lists("expect", "100-continue");
     }
 
-    /** Whether the request at hand, or else the last one, wants an answer without a body. */
+    /**
+     * Returns whether the current request, or else the last one, asks for a response without a body
+     * (HEAD).
+     */
     public boolean wantsHeadOnly() {
-        return begun != null && begun.method().equals("HEAD");
+        return partialHead != null && partialHead.method().equals("HEAD");
     }
 
-    /** Whether no byte of a message has been read since the last whole one, or interim one. */
+    /**
+     * Returns whether the decoder is between messages: no byte has been read since the end of the
+     * last final or interim message.
+     */
     public boolean between() {
         return state == State.HEAD && lineLength == 0;
     }
 
     /**
-     * Whether the message at hand has more of a body than is collected, and stands until it flows.
-     * An answer that says so is large at once, since its first bytes are waited for; a request once
-     * all is collected that may be, since it can be sent again for this long; and where no more may
-     * come it is not.
+     * Returns whether the current message has more of a body than is collected, so that decoding
+     * stops until {@link #flow} is called.
+     *
+     * <p>A response that declares a larger body counts as large at once, since the client waits for
+     * its first bytes. A request counts as large only once the whole window is collected, since the
+     * proxy can retry the request until then. A message whose body has reached the limit is not
+     * large.
      */
     public boolean large() {
         return head != null
-                && pieces == null
-                && bodySeen < maxBody
-                && (!requests && declared > window || bodySeen >= window);
+                && pieceConsumer == null
+                && bodyBytesRead < maxBody
+                && (!requests && declaredLength > window || bodyBytesRead >= window);
     }
 
-    /** The length of the body at hand, by its head; -1 where that doesn't say. */
+    /**
+     * Returns the declared length of the current body in bytes; -1 where the head declares none.
+     */
     public long bodyLength() {
-        return declared;
+        return declaredLength;
     }
 
-    /** How many bytes of a body are collected. */
+    /** Returns how many bytes of the current body are collected. */
     public int collected() {
         return collected.size();
     }
 
     /**
-     * From here on the body of the message at hand goes to {@code next}, piece by piece, and the
-     * message that ends it has none.
+     * Passes the rest of the current body to {@code next}, piece by piece. The message returned at
+     * its end has no body.
      *
-     * @return what was collected of it so far
+     * @return the part of the body that was collected so far
      */
     public byte[] flow(Consumer<byte[]> next) {
         byte[] first = collected.toByteArray();
-        startAfresh();
-        pieces = next;
+        resetBodyBuffer();
+        pieceConsumer = next;
         return first;
     }
 
     /**
-     * This avoids a connection that keeps the room of its largest body for as long as it stands.
+     * Replaces the body buffer, so that an idle connection doesn't retain the memory of its largest
+     * body.
      */
-    private void startAfresh() {
+    private void resetBodyBuffer() {
         if (collected != null && collected.size() > 0) {
             collected = new ByteArrayOutputStream(0);
             sink = collected;
         }
     }
 
-    /** Reads until a message is whole and returns it, or null where more bytes are wanted. */
+    /**
+     * Reads until a message is complete and returns the message, or returns null where more bytes
+     * are needed.
+     */
     public HttpMessage decode(ByteBuf in) throws MalformedMessageException {
         while (in.isReadable() && !large()) {
             boolean complete =
@@ -216,7 +244,7 @@
                             if (readLine(in, MAX_CHUNK_LINE)) {
                                 state = State.CHUNK_LINE;
                             }
-                            if (lineLength > 0 && line[0] != '\r') {
+                            if (lineLength > 0 && lineBuffer[0] != '\r') {
                                 throw MalformedMessageException.badRequest("bad chunk");
                             }
                             yield false;
@@ -229,66 +257,69 @@
                         }
                     };
             if (complete) {
-                return take();
+                return completeMessage();
             }
         }
         return null;
     }
 
-    /** The connection has ended: returns a message that this makes whole, or null. */
+    /**
+     * Handles the end of the connection: returns a message whose body ends with the connection, or
+     * null.
+     */
     public HttpMessage atEnd() {
-        return state == State.TO_END ? take() : null;
+        return state == State.TO_END ? completeMessage() : null;
     }
 
-    private HttpMessage take() {
+    private HttpMessage completeMessage() {
         HttpMessage message =
-                new HttpMessage(head, collected == null ? EMPTY : collected.toByteArray());
-        startAfresh();
+                new HttpMessage(head, collected == null ? EMPTY_BODY : collected.toByteArray());
+        resetBodyBuffer();
         state = State.HEAD;
         head = null;
-        pieces = null;
-        declared = 0;
-        continued = false;
-        interim = 0;
-        bodySeen = 0;
+        pieceConsumer = null;
+        declaredLength = 0;
+        continueReported = false;
+        interimResponses = 0;
+        bodyBytesRead = 0;
         lineLength = 0;
         lineStart = 0;
-        if (line.length > FIRST_HEAD_SIZE) {
-            line = new byte[FIRST_HEAD_SIZE];
+        if (lineBuffer.length > INITIAL_BUFFER_SIZE) {
+            lineBuffer = new byte[INITIAL_BUFFER_SIZE];
         }
         return message;
     }
 
     /**
-     * Copies what has come in one piece and looks for line ends in the copy. This avoids a slow
-     * start: asking the buffer for each byte took milliseconds a message until the code was
-     * compiled.
+     * Reads the head from a copy of the received bytes. Asking the buffer for each byte took
+     * milliseconds per message until the code was compiled, which slowed the start.
      *
-     * <p>Each line is read as it ends, and no byte passes that none may hold. This avoids what
-     * can't become a message, such as a TLS handshake, holding its connection until patience ends.
+     * <p>Each line is parsed as soon as it ends, and a byte that no head may contain is rejected at
+     * once. Otherwise input that can't become a message, such as a TLS handshake, would occupy its
+     * connection until the timeout.
      */
     private boolean readHead(ByteBuf in) throws MalformedMessageException {
         int from = lineLength;
         int end = copyHeadBytes(in, from);
         if (from == 0) {
-            begun = null; // the last message, if there was one, is no longer at hand
+            partialHead = null; // the last message, if any, is no longer the current one
         }
-        if (from > lineStart && line[from - 1] == '\r' && line[from] != '\n') {
-            throw bareReturn();
+        if (from > lineStart && lineBuffer[from - 1] == '\r' && lineBuffer[from] != '\n') {
+            throw bareCarriageReturn();
         }
         for (int i = from; i < end; i++) {
-            if (line[i] >= ' ') {
+            if (lineBuffer[i] >= ' ') {
                 continue;
             }
-            if (line[i] != '\n') {
-                checkOddByte(i, end);
+            if (lineBuffer[i] != '\n') {
+                checkSpecialByte(i, end);
             } else if (endLine(i)) {
                 in.skipBytes(lineStart - from);
                 return endHead();
             }
         }
         in.skipBytes(end - from);
-        if (begun == null && requests) {
+        if (partialHead == null && requests) {
             checkMethod(lineStart, end);
         }
         lineLength = headStart == end ? 0 : end;
@@ -299,52 +330,55 @@
         return false;
     }
 
-    /** Copies what has come behind what was there before, and says where it ends. */
+    /** Appends the received bytes to the line buffer and returns the end of the content. */
     private int copyHeadBytes(ByteBuf in, int from) throws MalformedMessageException {
         int end = from + Math.min(in.readableBytes(), maxHead - from);
         if (end == from) {
             throw new MalformedMessageException(
-                    begun == null && requests
+                    partialHead == null && requests
                             ? MalformedMessageException.URI_TOO_LONG
                             : MalformedMessageException.FIELDS_TOO_LARGE,
                     "too long a head");
         }
-        if (end > line.length) {
-            line = Arrays.copyOf(line, Math.max(end, 2 * line.length));
+        if (end > lineBuffer.length) {
+            lineBuffer = Arrays.copyOf(lineBuffer, Math.max(end, 2 * lineBuffer.length));
         }
-        in.getBytes(in.readerIndex(), line, from, end - from);
+        in.getBytes(in.readerIndex(), lineBuffer, from, end - from);
         return end;
     }
 
-    /** Reads the line that ends with this line feed; true where the head ends with it. */
+    /**
+     * Parses the line that ends with this line feed; returns true where the head ends with the
+     * line.
+     */
     private boolean endLine(int lineFeed) throws MalformedMessageException {
         int start = lineStart;
-        int end = lineFeed > start && line[lineFeed - 1] == '\r' ? lineFeed - 1 : lineFeed;
+        int end = lineFeed > start && lineBuffer[lineFeed - 1] == '\r' ? lineFeed - 1 : lineFeed;
         if (end == lineFeed && requests) {
-            // RFC 9112 2.2 leaves it open. This avoids a field that an intermediary takes for a
-            // part of the one before it: a length, say.
+            // RFC 9112 2.2 leaves this open. An intermediary might read the field after a bare line
+            // feed, a length for example, as part of the field before.
             throw MalformedMessageException.badRequest("a bare line feed");
         }
         lineStart = lineFeed + 1;
         if (end == start) {
             return endEmptyLine();
         }
-        if (begun == null) {
-            begun = MessageHead.begin(line, start, end, requests);
-            blank = 0;
+        if (partialHead == null) {
+            partialHead = MessageHead.begin(lineBuffer, start, end, requests);
+            emptyLines = 0;
         } else {
-            begun.addField(line, start, end);
+            partialHead.addField(lineBuffer, start, end);
         }
         return false;
     }
 
     private boolean endEmptyLine() throws MalformedMessageException {
-        if (begun != null) {
+        if (partialHead != null) {
             return true;
         }
-        headStart = lineStart; // an empty line before a message is allowed, and skipped
-        blank++;
-        if (blank > MAX_BLANK) {
+        headStart = lineStart; // an empty line before a message is allowed and skipped
+        emptyLines++;
+        if (emptyLines > MAX_EMPTY_LINES) {
             throw MalformedMessageException.badRequest("nothing but empty lines");
         }
         return false;
@@ -354,45 +388,46 @@
         lineLength = 0;
         lineStart = 0;
         headStart = 0;
-        head = begun;
+        head = partialHead;
         if (requests) {
             head.checkHost();
         }
         return beginBody();
     }
 
-    /** A byte of a head that is no line end, and no character of ASCII that can be seen. */
-    private void checkOddByte(int at, int end) throws MalformedMessageException {
-        if (line[at] == '\r') {
-            if (at + 1 < end && line[at + 1] != '\n') {
-                throw bareReturn();
+    /** Checks a byte of a head that is neither a line feed nor a printable ASCII character. */
+    private void checkSpecialByte(int at, int end) throws MalformedMessageException {
+        if (lineBuffer[at] == '\r') {
+            if (at + 1 < end && lineBuffer[at + 1] != '\n') {
+                throw bareCarriageReturn();
             }
-        } else if (begun == null && requests || line[at] >= 0 && line[at] != '\t') {
+        } else if (partialHead == null && requests
+                || lineBuffer[at] >= 0 && lineBuffer[at] != '\t') {
             throw MalformedMessageException.badRequest(
-                    begun == null ? "not HTTP" : "bad header field");
+                    partialHead == null ? "not HTTP" : "bad header field");
         }
     }
 
     /**
-     * RFC 9112 2.2: what some take for a line end, and others don't, hides fields from one of the
-     * two.
+     * Returns the error for a carriage return without a line feed (RFC 9112 2.2): where one party
+     * reads that as a line end and another doesn't, fields are hidden from one of the two.
      */
-    private static MalformedMessageException bareReturn() {
+    private static MalformedMessageException bareCarriageReturn() {
         return MalformedMessageException.badRequest("a bare carriage return");
     }
 
-    /** Checks what has come of a first line without its end, as far as its method goes. */
+    /** Checks the method in the received part of an incomplete first line. */
     private void checkMethod(int from, int end) throws MalformedMessageException {
-        for (int i = from; i < end && line[i] != ' '; i++) {
-            if (i - from == MAX_METHOD) {
+        for (int i = from; i < end && lineBuffer[i] != ' '; i++) {
+            if (i - from == MAX_METHOD_LENGTH) {
                 throw new MalformedMessageException(
                         MalformedMessageException.NOT_IMPLEMENTED, "too long a method");
             }
-            if (!MessageHead.inToken(line[i]) && (line[i] != '\r' || i > from)) {
+            if (!MessageHead.inToken(lineBuffer[i]) && (lineBuffer[i] != '\r' || i > from)) {
                 throw MalformedMessageException.badRequest("not HTTP");
             }
         }
-        if (end > from && line[from] == ' ') {
+        if (end > from && lineBuffer[from] == ' ') {
             throw MalformedMessageException.badRequest("not HTTP");
         }
     }
@@ -402,20 +437,21 @@
             throw new MalformedMessageException(
                     MalformedMessageException.FIELDS_TOO_LARGE, "too long a head");
         }
-        if (lineLength == line.length) {
-            line = Arrays.copyOf(line, 2 * lineLength);
+        if (lineLength == lineBuffer.length) {
+            lineBuffer = Arrays.copyOf(lineBuffer, 2 * lineLength);
         }
-        line[lineLength++] = next;
+        lineBuffer[lineLength++] = next;
     }
 
-    /** Works out how the body ends; true where there is none. */
+    /** Determines how the body ends; returns true where there is no body. */
     private boolean beginBody() throws MalformedMessageException {
         String length = head.fields().single("content-length");
         String coding = head.fields().single("transfer-encoding");
         if (!requests && head.status() < 200) {
-            head = null; // an interim answer: the final one follows
-            if (++interim > MAX_INTERIM) {
-                // This avoids an endpoint that never comes to its answer.
+            head = null; // an interim response: the final one follows
+            if (++interimResponses > MAX_INTERIM_RESPONSES) {
+                // An endpoint might otherwise send interim responses without ever sending the final
+                // one.
                 throw MalformedMessageException.badRequest("too many interim answers");
             }
             return false;
@@ -424,35 +460,38 @@
             return true;
         }
         if (coding != null) {
-            // This avoids request smuggling: two parties that disagree on where a body ends.
+            // Prevents request smuggling: two parties must not disagree on where a body ends.
             if (length != null || head.isOld()) {
                 throw MalformedMessageException.badRequest("unclear length");
             }
             if (!coding.equalsIgnoreCase("chunked")) {
                 throw unknownCoding(coding);
             }
-            trailerSeen = 0;
-            declared = -1;
+            trailerBytes = 0;
+            declaredLength = -1;
             state = State.CHUNK_LINE;
             return false;
         }
         if (length == null) {
             state = requests ? State.FIXED : State.TO_END;
             bodyLeft = 0;
-            declared = requests ? 0 : -1;
+            declaredLength = requests ? 0 : -1;
             return requests;
         }
         if (length.length() > 18 || !MessageHead.isNumber(length)) {
             throw MalformedMessageException.badRequest("bad Content-Length");
         }
         bodyLeft = Long.parseLong(length);
-        check(bodyLeft);
-        declared = bodyLeft;
+        checkBodySize(bodyLeft);
+        declaredLength = bodyLeft;
         state = State.FIXED;
         return bodyLeft == 0;
     }
 
-    /** RFC 9112 6.1: one that isn't chunked at its end leaves no length; others we have not. */
+    /**
+     * Returns the error for a transfer coding other than chunked. Without chunked as the last
+     * coding the body has no length (RFC 9112 6.1); with it, the other codings are not implemented.
+     */
     private static MalformedMessageException unknownCoding(String coding) {
         String[] all = coding.toLowerCase(Locale.ROOT).split("[ \t]*,[ \t]*", -1);
         boolean framed = all[all.length - 1].equals("chunked");
@@ -465,39 +504,40 @@
                 : MalformedMessageException.badRequest("unclear length");
     }
 
-    private void check(long more) throws MalformedMessageException {
-        if (more > maxBody - bodySeen) {
+    private void checkBodySize(long more) throws MalformedMessageException {
+        if (more > maxBody - bodyBytesRead) {
             throw new MalformedMessageException(
                     MalformedMessageException.CONTENT_TOO_LARGE, "too long a body");
         }
     }
 
     private boolean readFixed(ByteBuf in) throws MalformedMessageException {
-        long max = pieces == null ? Math.min(bodyLeft, window - bodySeen) : bodyLeft;
+        long max = pieceConsumer == null ? Math.min(bodyLeft, window - bodyBytesRead) : bodyLeft;
         int count = (int) Math.min(max, in.readableBytes());
-        check(count);
+        checkBodySize(count);
         try {
-            if (pieces == null) {
+            if (pieceConsumer == null) {
                 in.readBytes(sink, count);
             } else {
                 byte[] piece = new byte[count];
                 in.readBytes(piece);
-                pieces.accept(piece);
+                pieceConsumer.accept(piece);
             }
         } catch (IOException e) {
             throw MalformedMessageException.badRequest("content not taken: " + e.getMessage());
         }
         bodyLeft -= count;
-        bodySeen += count;
+        bodyBytesRead += count;
         return true;
     }
 
     /**
-     * Reads a short line of a chunked body into {@code line}; false where its end has not come yet.
+     * Reads a short line of a chunked body into the line buffer; returns false where the end of the
+     * line has not arrived yet.
      *
-     * <p>This avoids request smuggling: other than in a head, a line ends in both characters here
-     * and in nothing else (RFC 9112 7.1), since whoever takes less sees chunks where we see their
-     * content.
+     * <p>Prevents request smuggling: unlike in a head, a line here ends in both characters and in
+     * nothing else (RFC 9112 7.1). A party that accepts less would see chunks where this decoder
+     * sees their content.
      */
     private boolean readLine(ByteBuf in, int max) throws MalformedMessageException {
         if (lineStart < 0) {
@@ -506,13 +546,13 @@
         }
         while (in.isReadable()) {
             byte next = in.readByte();
-            boolean returned = lineLength > 0 && line[lineLength - 1] == '\r';
-            if (returned != (next == '\n')) {
+            boolean afterCarriageReturn = lineLength > 0 && lineBuffer[lineLength - 1] == '\r';
+            if (afterCarriageReturn != (next == '\n')) {
                 throw MalformedMessageException.badRequest("bad line end in a chunked body");
             }
-            if (returned) {
+            if (afterCarriageReturn) {
                 lineLength--;
-                lineStart = -1; // the next line starts afresh
+                lineStart = -1; // the next line starts with an empty buffer
                 return true;
             }
             append(next, max);
@@ -526,19 +566,20 @@
         }
         int digits = 0;
         long size = 0;
-        while (digits < lineLength && digits < 8 && Character.digit(line[digits], 16) >= 0) {
-            size = size * 16 + Character.digit(line[digits++], 16);
+        while (digits < lineLength && digits < 8 && Character.digit(lineBuffer[digits], 16) >= 0) {
+            size = size * 16 + Character.digit(lineBuffer[digits++], 16);
         }
         int extension = digits;
-        while (extension < lineLength && (line[extension] == ' ' || line[extension] == '\t')) {
+        while (extension < lineLength
+                && (lineBuffer[extension] == ' ' || lineBuffer[extension] == '\t')) {
             extension++;
         }
         if (digits == 0
-                || extension < lineLength && line[extension] != ';'
+                || extension < lineLength && lineBuffer[extension] != ';'
                 || extension == lineLength && extension > digits) {
             throw MalformedMessageException.badRequest("bad chunk size");
         }
-        check(size);
+        checkBodySize(size);
         bodyLeft = size;
         state = size == 0 ? State.TRAILER : State.CHUNK;
         return false;
@@ -549,11 +590,11 @@
             return false;
         }
         if (lineLength > 0) {
-            MessageHead.field(
-                    line, 0, lineLength); // dropped, but this avoids a request that hides there
+            // The field is dropped, but checked, so that no request can hide in a trailer.
+            MessageHead.field(lineBuffer, 0, lineLength);
         }
-        trailerSeen += lineLength;
-        if (trailerSeen > maxHead) {
+        trailerBytes += lineLength;
+        if (trailerBytes > maxHead) {
             throw new MalformedMessageException(
                     MalformedMessageException.FIELDS_TOO_LARGE, "too long a trailer");
         }
--- a/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
@@ -11,23 +11,23 @@
 /** Encodes HTTP/1.1 messages. */
 public final class HttpEncoder {
 
-    private static final String DEADLINE = "req-deadline-ms";
+    private static final String DEADLINE_KEY = "req-deadline-ms";
 
     private static final byte[] CONTINUE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    /** What frames a chunk: its length in hexadecimal digits and two line ends. */
-    private static final int MAX_FRAME = 12;
+    /** Maximum overhead of a chunk in bytes: its length in hexadecimal digits and two line ends. */
+    private static final int MAX_CHUNK_OVERHEAD = 12;
 
     private HttpEncoder() {}
 
     /**
-     * A request as it goes on to an endpoint: unchanged but for the time that is left and, where
-     * there are budgets, what is handed down.
+     * Encodes a request for an endpoint. Its end-to-end fields are unchanged except for the
+     * remaining time and, with budgets, the budget fields.
      *
-     * @param handed null where there are no budgets
+     * @param handed the budget for the endpoint; null where there are no budgets
      */
     public static ByteBuf request(
             ByteBufAllocator buffers,
@@ -44,8 +44,8 @@
         List<HeaderFields.Field> fields = request.head().fields().all();
         for (int i = 0; i < fields.size(); i++) {
             HeaderFields.Field field = fields.get(i);
-            if (passesOn(field, listed)
-                    && !field.key().equals(DEADLINE)
+            if (isForwarded(field, listed)
+                    && !field.key().equals(DEADLINE_KEY)
                     && (handed == null || !BudgetHeaders.KEYS.contains(field.key()))) {
                 field(head, field.name().text(), field.value());
             }
@@ -57,39 +57,42 @@
         }
         boolean bodiless = request.body().length == 0 && request.head().method().equals("GET");
         return request.rest() == null
-                ? finish(buffers, head, request.body(), !bodiless)
-                : begin(buffers, head, request, true);
+                ? encodeWhole(buffers, head, request.body(), !bodiless)
+                : encodeStart(buffers, head, request, true);
     }
 
     /**
-     * Whether a field goes further than this connection, of which {@code Connection} lists these
-     * names.
+     * Returns whether a field is forwarded beyond this connection, whose {@code Connection} field
+     * lists the given names.
      */
-    private static boolean passesOn(HeaderFields.Field field, List<String> listed) {
+    private static boolean isForwarded(HeaderFields.Field field, List<String> listed) {
         return field.name().passedOn()
                 && (listed.isEmpty() || field.name().isEndToEnd() || !listed.contains(field.key()));
     }
 
-    /** What lets a client send the body that it holds back. */
+    /**
+     * Encodes the 100 (Continue) response, after which a client sends the body that it withholds.
+     */
     public static ByteBuf goOn(ByteBufAllocator buffers) {
         return buffers.buffer(CONTINUE.length).writeBytes(CONTINUE);
     }
 
-    /** A request of the proxy's own, without a body. */
+    /** Encodes a GET request that the proxy itself sends. */
     public static ByteBuf get(ByteBufAllocator buffers, String target, String host) {
         StringBuilder head =
                 new StringBuilder(96).append("GET ").append(target).append(" HTTP/1.1\r\n");
         field(head, "Host", host);
-        return finish(buffers, head, new byte[0], false);
+        return encodeWhole(buffers, head, new byte[0], false);
     }
 
     /**
-     * An endpoint's answer as it goes on to the client.
+     * Encodes an endpoint's response for the client.
      *
-     * @param budgets whether what it says of budgets was for this proxy and goes no further
-     * @param result what this proxy says of them; null: nothing
-     * @param chunks whether the client takes a body in chunks; one that flows and has no length
-     *     ends with the connection otherwise
+     * @param budgets true to drop the response's budget fields, which are meant for this proxy
+     *     alone
+     * @param result this proxy's own budget feedback; null for none
+     * @param chunks whether the client accepts a chunked body; otherwise a body that is forwarded
+     *     in pieces and has no declared length ends with the connection
      */
     public static ByteBuf served(
             ByteBufAllocator buffers,
@@ -103,18 +106,19 @@
         List<HeaderFields.Field> fields = answer.head().fields().all();
         for (int i = 0; i < fields.size(); i++) {
             HeaderFields.Field field = fields.get(i);
-            if (passesOn(field, listed) && !(budgets && BudgetHeaders.KEYS.contains(field.key()))) {
+            if (isForwarded(field, listed)
+                    && !(budgets && BudgetHeaders.KEYS.contains(field.key()))) {
                 field(head, field.name().text(), field.value());
             }
         }
         result(head, result);
         return answer.rest() == null
-                ? finish(buffers, head, answer.body(), true)
-                : begin(buffers, head, answer, chunks);
+                ? encodeWhole(buffers, head, answer.body(), true)
+                : encodeStart(buffers, head, answer, chunks);
     }
 
-    /** The head and the first bytes of a message whose rest flows. */
-    private static ByteBuf begin(
+    /** Encodes the head and the first bytes of a message whose remaining body follows in pieces. */
+    private static ByteBuf encodeStart(
             ByteBufAllocator buffers, StringBuilder head, HttpMessage message, boolean chunks) {
         long length = message.rest().length();
         boolean chunked = length < 0 && chunks;
@@ -125,16 +129,17 @@
         }
         byte[] start = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
         byte[] body = message.body();
-        ByteBuf out = buffers.buffer(start.length + body.length + MAX_FRAME).writeBytes(start);
+        ByteBuf out =
+                buffers.buffer(start.length + body.length + MAX_CHUNK_OVERHEAD).writeBytes(start);
         return body.length == 0 ? out : write(out, body, chunked);
     }
 
-    /** A piece of a body that flows; it holds at least one byte. */
+    /** Encodes one piece of a body, of at least one byte. */
     public static ByteBuf piece(ByteBufAllocator buffers, byte[] piece, boolean chunked) {
-        return write(buffers.buffer(piece.length + MAX_FRAME), piece, chunked);
+        return write(buffers.buffer(piece.length + MAX_CHUNK_OVERHEAD), piece, chunked);
     }
 
-    /** The end of a body in chunks. */
+    /** Encodes the end of a chunked body. */
     public static ByteBuf lastChunk(ByteBufAllocator buffers) {
         return buffers.buffer(LAST_CHUNK.length).writeBytes(LAST_CHUNK);
     }
@@ -148,7 +153,10 @@
         return out.writeBytes(piece).writeByte('\r').writeByte('\n');
     }
 
-    /** An answer of the proxy's own; {@code retryAfterNanos} of 0 gives no advice. */
+    /**
+     * Encodes a response of the proxy itself; a {@code retryAfterNanos} of 0 omits {@code
+     * Retry-After}.
+     */
     public static ByteBuf answer(
             ByteBufAllocator buffers,
             int status,
@@ -158,7 +166,10 @@
         return answer(buffers, status, text, retryAfterNanos, close, null);
     }
 
-    /** The same, with what it says of budgets; null: nothing. */
+    /**
+     * Encodes a response of the proxy itself, with budget feedback; a null {@code result} omits the
+     * feedback.
+     */
     public static ByteBuf answer(
             ByteBufAllocator buffers,
             int status,
@@ -172,11 +183,12 @@
             field(head, "Retry-After", Double.toString(Math.ceil(retryAfterNanos / 1e6) / 1e3));
         }
         result(head, result);
-        return finish(buffers, head, (text + "\n").getBytes(StandardCharsets.UTF_8), true);
+        return encodeWhole(buffers, head, (text + "\n").getBytes(StandardCharsets.UTF_8), true);
     }
 
     /**
-     * An answer to an operator's call, after which the connection ends; {@code allow} may be null.
+     * Encodes a response of the operator interface, after which the connection is closed; {@code
+     * allow} may be null.
      */
     public static ByteBuf page(
             ByteBufAllocator buffers, int status, String type, byte[] body, String allow) {
@@ -185,12 +197,12 @@
         if (allow != null) {
             field(head, "Allow", allow);
         }
-        return finish(buffers, head, body, true);
+        return encodeWhole(buffers, head, body, true);
     }
 
     /**
-     * An answer of the proxy's own to {@code HEAD}: with the length of its body, and without the
-     * body.
+     * Encodes the proxy's own response to a {@code HEAD} request: with the length of the body, and
+     * without the body.
      */
     public static ByteBuf answerHead(
             ByteBufAllocator buffers, int status, String text, boolean close) {
@@ -240,7 +252,7 @@
         head.append(name).append(": ").append(value).append("\r\n");
     }
 
-    private static ByteBuf finish(
+    private static ByteBuf encodeWhole(
             ByteBufAllocator buffers, StringBuilder head, byte[] body, boolean length) {
         if (length) {
             field(head, "Content-Length", Integer.toString(body.length));
--- a/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
@@ -16,13 +16,13 @@
 import java.util.Set;
 
 /**
- * Settings as the simulator sends them and as the proxy's configuration holds them. Times are in
- * nanoseconds.
+ * Reads the settings that the simulator sends and that the proxy's configuration contains. Times
+ * are in nanoseconds.
  */
 public final class SettingsReader {
 
-    /** What the words of the settings mean. */
-    private static final Map<String, Idempotency> EFFECTS =
+    /** Idempotency of a request class, by its name in the settings. */
+    private static final Map<String, Idempotency> IDEMPOTENCIES =
             Map.of(
                     "retryable",
                     Idempotency.SAFE,
@@ -42,19 +42,19 @@
                     "none",
                     SiteSettings.Reports.NONE);
 
-    /**
-     * No count of machines, zones or attempts is larger: this avoids a number cut short in a cast.
-     */
+    /** Limit on counts of machines, zones and attempts, so that no cast to int truncates a value. */
     private static final int MAX_COUNTED = 1_000_000;
 
-    /** No time is longer: a week. This avoids sums of times that overflow. */
-    private static final long LONGEST = 7 * 86_400_000_000_000L;
+    /** Limit on times: a week in nanoseconds, so that sums of times don't overflow. */
+    private static final long MAX_TIME_NANOS = 7 * 86_400_000_000_000L;
 
     private SettingsReader() {}
 
     /**
-     * Reads the settings; an IllegalArgumentException says where something is missing or wrong,
-     * what was found there and what is allowed. Keys that are not known are skipped.
+     * Reads the settings. Unknown keys are ignored.
+     *
+     * @throws IllegalArgumentException if a setting is missing or wrong; the message names the
+     *     place, the value found and the values allowed
      */
     public static SiteSettings read(JsonObject root) {
         List<RequestClass> classes = classes(root);
@@ -73,8 +73,8 @@
                 new BalancerSettings(
                         replicas,
                         (int) root.integer("ordinal", 0, replicas - 1),
-                        (int) root.number("zone", 0, 0, listed(zones)),
-                        (int) root.number("layer", 0, 0, listed(tiers)),
+                        (int) root.number("zone", 0, 0, maxIndex(zones)),
+                        (int) root.number("layer", 0, 0, maxIndex(tiers)),
                         Math.max(1, tiers.size()),
                         root.word("discovery", "push", List.of("push", "ask")).equals("ask"),
                         List.copyOf(classes),
@@ -93,8 +93,11 @@
                 root.texts("kinds"));
     }
 
-    /** The largest index into a list of names; any where none are named. */
-    private static int listed(List<String> names) {
+    /**
+     * Returns the largest index into a list of names; without names, any index up to the limit on
+     * counts.
+     */
+    private static int maxIndex(List<String> names) {
         return names.isEmpty() ? MAX_COUNTED : names.size() - 1;
     }
 
@@ -110,13 +113,13 @@
             classes.add(
                     new RequestClass(
                             name,
-                            word(node, "idempotency", null, EFFECTS),
+                            word(node, "idempotency", null, IDEMPOTENCIES),
                             word(node, "key-scope", "all", SCOPES),
-                            node.integer("goal-time-ns", 1, LONGEST),
-                            node.integer("give-up-ns", 1, LONGEST),
+                            node.integer("goal-time-ns", 1, MAX_TIME_NANOS),
+                            node.integer("give-up-ns", 1, MAX_TIME_NANOS),
                             node.number("value", 1, 0, Double.MAX_VALUE),
                             node.number("late-worth", 0),
-                            (long) node.number("repeat-window-ns", 0, 0, LONGEST),
+                            (long) node.number("repeat-window-ns", 0, 0, MAX_TIME_NANOS),
                             node.flag("stream", false)));
         }
         if (classes.isEmpty()) {
@@ -132,19 +135,19 @@
                 limits.flag("parallel-tries", false),
                 limits.flag("retry-after", false),
                 (int) limits.number("max-attempts", 1, 1, MAX_COUNTED),
-                (long) limits.number("max-retry-after-ns", 0, 0, LONGEST),
-                (long) limits.number("dial-timeout-ns", 0, 0, LONGEST),
-                (long) limits.number("conn-idle-ns", 0, 0, LONGEST));
+                (long) limits.number("max-retry-after-ns", 0, 0, MAX_TIME_NANOS),
+                (long) limits.number("dial-timeout-ns", 0, 0, MAX_TIME_NANOS),
+                (long) limits.number("conn-idle-ns", 0, 0, MAX_TIME_NANOS));
     }
 
     private static SafetyRules safety(JsonObject safety) {
         return new SafetyRules(
-                safety.integer("stop-sending-within-ns", 0, LONGEST),
+                safety.integer("stop-sending-within-ns", 0, MAX_TIME_NANOS),
                 safety.number("cold-share", 1, 0, 1),
-                (long) safety.number("ramp-time-ns", 0, 0, LONGEST),
+                (long) safety.number("ramp-time-ns", 0, 0, MAX_TIME_NANOS),
                 safety.number("fall-multiple", 1, 0, Double.MAX_VALUE),
-                (long) safety.number("fall-ns", 0, 0, LONGEST),
-                (long) safety.number("ask-within-ns", 0, 0, LONGEST));
+                (long) safety.number("fall-ns", 0, 0, MAX_TIME_NANOS),
+                (long) safety.number("ask-within-ns", 0, 0, MAX_TIME_NANOS));
     }
 
     private static ServiceGoal goal(JsonObject root) {
@@ -163,8 +166,8 @@
     }
 
     private static <T> T word(
-            JsonObject node, String key, String otherwise, Map<String, T> meanings) {
-        return meanings.get(
-                node.word(key, otherwise, meanings.keySet().stream().sorted().toList()));
+            JsonObject node, String key, String defaultWord, Map<String, T> valuesByWord) {
+        return valuesByWord.get(
+                node.word(key, defaultWord, valuesByWord.keySet().stream().sorted().toList()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/toml/ConfigDocument.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigDocument.java
@@ -15,17 +15,17 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * A TOML file that is read strictly: every key has a type and a range, and what nobody asked for is
- * an error.
+ * A TOML file that is read strictly: every key has a type and a range, and an unknown key is an
+ * error.
  *
- * <p>Reading goes on past what is wrong, with the default or the least allowed value in its place,
- * so that one run finds all errors; {@link #check} then throws them together. Parsing is done by
- * tomlj, which unlike other TOML readers knows the line of each key.
+ * <p>Reading continues after a wrong value, with the default or the minimum in its place, so that
+ * one run finds all errors; {@link #check} then throws them together. The parser is tomlj, which
+ * unlike other TOML readers reports the line of each key.
  */
 public final class ConfigDocument {
 
-    /** Larger files are no configuration. */
-    private static final long MAX_BYTES = 4 << 20;
+    /** Limit on the size of a configuration file, in bytes. */
+    private static final long MAX_FILE_BYTES = 4 << 20;
 
     private final String file;
     private final List<ConfigProblem> problems = new ArrayList<>();
@@ -44,11 +44,12 @@
                             String.valueOf(error.getMessage()).replaceAll("\\R", " "),
                             "TOML 1.0"));
         }
-        // This avoids errors that only follow from a line that could not be read.
+        // After a syntax error the rest is not read, since its errors would only follow from the
+        // line that could not be parsed.
         root = new ConfigTable(this, problems.isEmpty() ? parsed : Toml.parse(""), "", 0);
     }
 
-    /** Reads a text; {@code file} is the name by which errors call it. */
+    /** Parses a text; {@code file} is the name of the file in error messages. */
     public static ConfigDocument parse(String file, String text) {
         return new ConfigDocument(file, text);
     }
@@ -56,13 +57,13 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidFileException if it isn't there, can't be read or is over 4 MiB
+     * @throws InvalidFileException if the file doesn't exist, can't be read or is larger than 4 MiB
      */
     public static ConfigDocument read(Path path) throws InvalidFileException {
         try {
-            if (Files.size(path) > MAX_BYTES) {
+            if (Files.size(path) > MAX_FILE_BYTES) {
                 throw unreadable(
-                        path, Files.size(path) + " bytes", MAX_BYTES + " bytes at the most");
+                        path, Files.size(path) + " bytes", MAX_FILE_BYTES + " bytes at the most");
             }
             return new ConfigDocument(path.toString(), Files.readString(path));
         } catch (NoSuchFileException e) {
@@ -80,12 +81,12 @@
                 List.of(new ConfigProblem(path.toString(), 0, "", found, allowed)));
     }
 
-    /** The table at the top; empty where the text is no TOML. */
+    /** Returns the top-level table; empty where the text is not valid TOML. */
     public ConfigTable root() {
         return root;
     }
 
-    /** The name by which errors call the file. */
+    /** Returns the name of the file in error messages. */
     public String file() {
         return file;
     }
@@ -94,7 +95,7 @@
         keys.putIfAbsent(key.path(), key);
     }
 
-    /** The keys that were asked for so far, there or not, in the order of their first asking. */
+    /** Returns the keys that were read so far, present or not, in the order of the first read. */
     public List<ConfigKey> keys() {
         return List.copyOf(keys.values());
     }
@@ -103,15 +104,15 @@
         problems.add(new ConfigProblem(file, line, key, found, allowed));
     }
 
-    /** What is wrong so far, in the order of lines. */
+    /** Returns the problems found so far, ordered by line. */
     public List<ConfigProblem> problems() {
         return problems.stream().sorted(Comparator.comparingInt(ConfigProblem::line)).toList();
     }
 
     /**
-     * To be called when all has been read.
+     * Throws all problems found, if any; to be called once everything has been read.
      *
-     * @throws InvalidFileException if anything was wrong, with all of it
+     * @throws InvalidFileException if there is at least one problem, with all problems
      */
     public void check() throws InvalidFileException {
         if (!problems.isEmpty()) {
--- a/daemon/src/main/java/cedarrudder/toml/ConfigKey.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigKey.java
@@ -1,18 +1,18 @@
 package cedarrudder.toml;
 
 /**
- * A key that a reader asks for; with the others of a {@link ConfigDocument} it tells what may stand
- * in a file, so that pages about the format can be held against it.
+ * A key that the code reads from a configuration file. The keys of a {@link ConfigDocument}
+ * together describe the file format, so that documentation can be checked against them.
  *
- * @param path its full name without places in arrays: {@code tier.kind.share}
- * @param allowed what may stand there, as problems say it
- * @param otherwise the default as a file would write it, {@link #REQUIRED} or {@link #NONE}
+ * @param path the full name of the key without array indexes: {@code tier.kind.share}
+ * @param allowed the allowed values, worded as in problem messages
+ * @param otherwise the default in the file's notation, {@link #REQUIRED} or {@link #NONE}
  */
 public record ConfigKey(String path, String allowed, String otherwise) {
 
-    /** For a key that must be there. */
+    /** Marks a required key. */
     public static final String REQUIRED = "required";
 
-    /** For a key that may be left out and then has no value. */
+    /** Marks an optional key without a default. */
     public static final String NONE = "none";
 }
--- a/daemon/src/main/java/cedarrudder/toml/ConfigProblem.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigProblem.java
@@ -1,13 +1,14 @@
 package cedarrudder.toml;
 
 /**
- * One thing wrong with a TOML file.
+ * A problem found in a TOML file.
  *
- * @param file the file's name as the user gave it
- * @param line the line, from 1; 0 where the whole file is meant
- * @param key the full name of the key, {@code tier[2].cores}; empty where no key is meant
- * @param found what stands there, or {@code nothing}
- * @param allowed what may stand there
+ * @param file the name of the file as the user gave it
+ * @param line the line number, from 1; 0 where the problem concerns the whole file
+ * @param key the full name of the key, {@code tier[2].cores}; empty where the problem concerns no
+ *     single key
+ * @param found the value found, or {@code nothing}
+ * @param allowed the allowed values
  */
 public record ConfigProblem(String file, int line, String key, String found, String allowed) {
 
--- a/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
@@ -17,17 +17,19 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a {@link ConfigDocument}. Each method names a key that may stand in it; {@link
- * #done} reports every other key. A value that is missing or wrong is reported, and the default or
- * the least value comes in its place, so reading goes on. Numbers may be written as integers or
- * decimals.
+ * One table of a {@link ConfigDocument}. Each method registers a key as known; {@link #done}
+ * reports every other key as a problem. A missing or wrong value is reported as a problem and
+ * replaced by the default or the minimum, so that reading continues. Numbers may be written as
+ * integers or decimals.
  */
 public final class ConfigTable {
 
-    /** A misspelt key is named with the known one that is at most this many changes away. */
-    private static final int NEAREST = 3;
+    /**
+     * Maximum number of changes between a misspelt key and the known key that the message suggests.
+     */
+    private static final int MAX_KEY_DISTANCE = 3;
 
-    /** Longer values are cut in messages. */
+    /** Maximum number of characters of a value in messages; longer values are truncated. */
     private static final int MAX_SHOWN = 60;
 
     private static final Pattern INDEX = Pattern.compile("\\[\\d+]");
@@ -36,8 +38,8 @@
     private final TomlTable table;
     private final String path;
     private final int line;
-    private final Set<String> known = new LinkedHashSet<>();
-    private final Set<String> wrong = new HashSet<>();
+    private final Set<String> knownKeys = new LinkedHashSet<>();
+    private final Set<String> keysWithProblems = new HashSet<>();
 
     ConfigTable(ConfigDocument document, TomlTable table, String path, int line) {
         this.document = document;
@@ -46,33 +48,36 @@
         this.line = line;
     }
 
-    /** The line on which the table begins; 0 for the file's top. */
+    /** Returns the line on which the table begins; 0 for the top-level table. */
     public int line() {
         return line;
     }
 
-    /** Whether a key is there, whatever its value. */
+    /** Returns whether a key is present, whatever its value. */
     public boolean has(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return table.contains(List.of(key));
     }
 
-    /** The keys that are there, in the order of the file; for tables whose keys are names. */
+    /**
+     * Returns the keys that are present, in the order of the file, and registers all of them as
+     * known; for tables whose keys are names.
+     */
     public List<String> keys() {
         List<String> keys = new ArrayList<>(table.keySet());
-        known.addAll(keys);
+        knownKeys.addAll(keys);
         return keys;
     }
 
     // ---- problems ----
 
-    /** Reports a problem with a key of this table, which need not be there. */
+    /** Reports a problem with a key of this table, which need not be present. */
     public void problem(String key, String found, String allowed) {
         TomlPosition at =
                 key.isEmpty() || !table.contains(List.of(key))
                         ? null
                         : table.inputPositionOf(List.of(key));
-        wrong.add(key);
+        keysWithProblems.add(key);
         document.add(
                 at == null ? line : at.line(),
                 key.isEmpty() && !path.isEmpty()
@@ -83,35 +88,36 @@
     }
 
     /**
-     * Whether no problem of these keys was reported. This avoids errors that only follow from
-     * others: a value that stands in for a wrong one is not to be held against other values.
+     * Returns whether no problem was reported for these keys. A default that replaces a wrong value
+     * must not be compared with other values, since this would report errors that only follow from
+     * the first one.
      */
     public boolean sound(String... keys) {
-        return Arrays.stream(keys).noneMatch(wrong::contains);
+        return Arrays.stream(keys).noneMatch(keysWithProblems::contains);
     }
 
-    /** Reports the keys that no method has named, each with the nearest that one has. */
+    /** Reports the keys that no method has registered, each with the nearest known key. */
     public void done() {
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
-                String nearest = nearest(key, known);
+            if (!knownKeys.contains(key)) {
+                String nearest = nearest(key, knownKeys);
                 problem(
                         key,
                         "an unknown key",
                         nearest != null
                                 ? "did you mean '" + nearest + "'?"
-                                : known.isEmpty() ? "no key" : String.join(", ", known));
+                                : knownKeys.isEmpty() ? "no key" : String.join(", ", knownKeys));
             }
         }
     }
 
     /**
-     * The one of some names that a misspelt one is likely to mean; null where none is near. The
-     * fewest changes win, then the earlier name.
+     * Returns the name that a misspelt one probably means; null where none is near. The fewest
+     * changes win, then the earlier name.
      */
     public static String nearest(String key, Collection<String> among) {
         String nearest = null;
-        int min = Math.min(NEAREST, Math.max(1, key.length() / 2)) + 1;
+        int min = Math.min(MAX_KEY_DISTANCE, Math.max(1, key.length() / 2)) + 1;
         for (String each : among) {
             int distance = distance(key, each);
             if (distance < min) {
@@ -122,7 +128,10 @@
         return nearest;
     }
 
-    /** Levenshtein's distance (1966): insertions, deletions and replacements. */
+    /**
+     * Returns the Levenshtein distance (1966): the number of insertions, deletions and
+     * replacements.
+     */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         Arrays.setAll(row, i -> i);
@@ -139,7 +148,7 @@
     }
 
     private Object get(String key, boolean required, String allowed, String otherwise) {
-        known.add(key);
+        knownKeys.add(key);
         document.asked(
                 new ConfigKey(
                         plain(path + key), allowed, required ? ConfigKey.REQUIRED : otherwise));
@@ -150,7 +159,7 @@
         return value;
     }
 
-    /** A value as problems show it: texts in quotes, and nothing long. */
+    /** Formats a value for problem messages: strings in quotes, and long values truncated. */
     public static String shown(Object value) {
         if (value instanceof TomlTable) {
             return "a table";
@@ -166,12 +175,12 @@
 
     // ---- values ----
 
-    /** A whole number that must be there. */
+    /** Reads a required integer. */
     public long integer(String key, long min, long max) {
         return integer(key, min, max, min, true);
     }
 
-    /** A whole number that may be left out. */
+    /** Reads an optional integer. */
     public long integer(String key, long min, long max, long otherwise) {
         return integer(key, min, max, otherwise, false);
     }
@@ -189,12 +198,12 @@
         return otherwise;
     }
 
-    /** A number that must be there. */
+    /** Reads a required number. */
     public double number(String key, double min, double max) {
         return number(key, min, max, min, true);
     }
 
-    /** A number that may be left out. */
+    /** Reads an optional number. */
     public double number(String key, double min, double max, double otherwise) {
         return number(key, min, max, otherwise, false);
     }
@@ -215,7 +224,8 @@
     }
 
     /**
-     * A number, or two in brackets between which one is drawn; null stands for none where left out.
+     * Reads a number, or a range of two numbers in brackets from which a value is drawn. The key is
+     * required where {@code otherwise} is null.
      */
     public double[] range(String key, double min, double max, double[] otherwise) {
         double[] ends =
@@ -231,13 +241,13 @@
         return otherwise == null ? new double[] {min, min} : otherwise;
     }
 
-    /** A number or two as in {@link #range} that may be left out; null where it is. */
+    /** Reads an optional number or range as {@link #range} does; null where the key is absent. */
     public double[] rangeOrNull(String key, double min, double max) {
         double[] ends = range(key, min, max, false, ConfigKey.NONE);
         return ends == null && has(key) ? new double[] {min, min} : ends;
     }
 
-    /** Null where the value is missing or wrong. */
+    /** Reads a number or range; returns null where the value is missing or wrong. */
     private double[] range(String key, double min, double max, boolean required, String otherwise) {
         String allowed =
                 "a number from "
@@ -271,7 +281,7 @@
         return null;
     }
 
-    /** True or false. */
+    /** Reads an optional boolean. */
     public boolean flag(String key, boolean otherwise) {
         Object value = get(key, false, "true or false", Boolean.toString(otherwise));
         if (value == null || value instanceof Boolean) {
@@ -281,7 +291,7 @@
         return otherwise;
     }
 
-    /** A text; it must be there where {@code otherwise} is null. */
+    /** Reads a string; required where {@code otherwise} is null. */
     public String text(String key, String otherwise) {
         Object value =
                 get(
@@ -298,7 +308,7 @@
         return otherwise == null ? "" : otherwise;
     }
 
-    /** A time of day; it must be there. */
+    /** Reads a required time of day. */
     public LocalTime time(String key) {
         String allowed = "a time of day such as 09:30:00";
         Object value = get(key, true, allowed, ConfigKey.NONE);
@@ -311,7 +321,7 @@
         return LocalTime.MIDNIGHT;
     }
 
-    /** A list of texts; empty where left out. */
+    /** Reads a list of strings; empty where the key is absent. */
     public List<String> texts(String key) {
         Object value = get(key, false, "a list of texts", ConfigKey.NONE);
         if (value == null) {
@@ -325,7 +335,7 @@
         return List.of();
     }
 
-    /** A list of numbers; empty where left out. */
+    /** Reads a list of numbers; empty where the key is absent. */
     public List<Double> numbers(String key, double min, double max) {
         String allowed = "a list of numbers from " + plain(min) + " to " + plain(max);
         Object value = get(key, false, allowed, ConfigKey.NONE);
@@ -346,7 +356,8 @@
     }
 
     /**
-     * A constant of an enumeration as {@link #written}; it must be there where the default is null.
+     * Reads an enum constant, spelled as {@link #written} returns; required where {@code otherwise}
+     * is null.
      */
     public <E extends Enum<E>> E choice(String key, Class<E> of, E otherwise) {
         E[] constants = of.getEnumConstants();
@@ -371,14 +382,16 @@
         return otherwise == null ? constants[0] : otherwise;
     }
 
-    /** How files write a constant: {@code PEAK_EWMA} is {@code peak-ewma}. */
+    /**
+     * Returns the spelling of an enum constant in files: {@code PEAK_EWMA} is {@code peak-ewma}.
+     */
     public static String written(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     // ---- tables ----
 
-    /** A table; null where left out. */
+    /** Reads a table; null where the key is absent. */
     public ConfigTable table(String key) {
         Object value = get(key, false, "a table", ConfigKey.NONE);
         if (value instanceof TomlTable child) {
@@ -390,7 +403,7 @@
         return null;
     }
 
-    /** A table whose keys are all missing where it is left out itself. */
+    /** Reads a table; where the key is absent, returns a table without any keys. */
     public ConfigTable tableOrEmpty(String key) {
         ConfigTable child = table(key);
         return child != null
@@ -398,7 +411,7 @@
                 : new ConfigTable(document, Toml.parse(""), path + key + ".", line);
     }
 
-    /** An array of tables; empty where left out. */
+    /** Reads an array of tables; empty where the key is absent. */
     public List<ConfigTable> tables(String key) {
         String allowed = "tables written [[" + plain(path + key) + "]]";
         Object value = get(key, false, allowed, ConfigKey.NONE);
@@ -424,7 +437,7 @@
         return at == null ? line : at.line();
     }
 
-    /** A key's full name without places in arrays. */
+    /** Returns a key's full name without array indexes. */
     private static String plain(String key) {
         return INDEX.matcher(key).replaceAll("");
     }
@@ -435,7 +448,7 @@
                 : "[" + plain(ends[0]) + ", " + plain(ends[1]) + "]";
     }
 
-    /** Numbers as people write them: without the point where they are whole. */
+    /** Formats a number, without a decimal point where the number is whole. */
     private static String plain(double number) {
         return number == Math.rint(number) && Math.abs(number) < 1e15
                 ? Long.toString((long) number)
--- a/daemon/src/main/java/cedarrudder/toml/InvalidFileException.java
+++ b/daemon/src/main/java/cedarrudder/toml/InvalidFileException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file that can't be used, with everything that is wrong with it, in the order of its lines. */
+/** Thrown when a file can't be used; reports all problems of the file, ordered by line. */
 public final class InvalidFileException extends Exception {
 
     private static final long serialVersionUID = 1;
@@ -18,7 +18,7 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** What is wrong, in the order of lines. */
+    /** Returns the problems, ordered by line. */
     public List<ConfigProblem> problems() {
         return problems;
     }
--- a/daemon/src/main/java/cedarrudder/toml/package-info.java
+++ b/daemon/src/main/java/cedarrudder/toml/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A strict reader of TOML that reports all errors of a file at once, with their lines.
+ * Strict TOML reader that reports all errors of a file at once, with their line numbers.
  *
- * <p>Uses nothing else of the project.
+ * <p>Has no dependency on other packages of the project.
  */
 package cedarrudder.toml;
