--- a/daemon/src/main/java/cedarrudder/protocol/Addresses.java
+++ b/daemon/src/main/java/cedarrudder/protocol/Addresses.java
@@ -5,14 +5,18 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as the configuration and discovery write them, {@code 10.0.0.4:5000}. */
+/**
+ * Parser for addresses as the configuration and discovery write them, such as {@code
+ * 10.0.0.4:5000}.
+ */
 public final class Addresses {
 
     private Addresses() {}
 
     /**
-     * Reads an address; an IllegalArgumentException says what is wrong with it. Names are not
-     * looked up.
+     * Parses an address without looking up names.
+     *
+     * @throws IllegalArgumentException if the text is not an address
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -26,7 +30,7 @@
                 return new InetSocketAddress(InetAddress.getByAddress(host), port);
             }
         } catch (IllegalArgumentException | UnknownHostException e) {
-            // answered below, like every other text that is no address
+            // rejected below, like every other text that is not an address
         }
         throw new IllegalArgumentException("'" + text + "' is not an address");
     }
--- a/daemon/src/main/java/cedarrudder/protocol/BodyRemainder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/BodyRemainder.java
@@ -3,8 +3,9 @@
 import cedarrudder.bodyflow.BodyFlow;
 
 /**
- * What follows the first bytes of a body that is not held whole.
+ * The part of a body that follows its buffered first bytes.
  *
- * @param length of the whole body, the first bytes with it; -1 where its sender doesn't say
+ * @param length the length of the whole body in bytes, including the first bytes; -1 where the
+ *     sender declares none
  */
 public record BodyRemainder(BodyFlow flow, long length) {}
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointList.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointList.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * Discovery's list of endpoints at some version, whole or only what changed.
+ * One version of discovery's endpoint list: the full list, or only the changes.
  *
- * @param unread what is wrong with each entry that could not be read
+ * @param unread one problem for each entry that could not be read
  */
 public record EndpointList(long version, boolean full, List<Node> nodes, List<String> unread) {
 
     /**
-     * One endpoint: its id, as discovery lists it, and where this proxy reaches it (null: it is
-     * gone).
+     * One endpoint: its id in discovery, and the address at which this proxy reaches it; null after
+     * a removal.
      */
     public record Node(String name, Endpoint endpoint, InetSocketAddress address) {}
 }
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListParser.java
@@ -12,7 +12,9 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** Reads endpoint lists, and gives each endpoint the number by which the balancer knows it. */
+/**
+ * Parses endpoint lists and assigns each endpoint the number that identifies it in the balancer.
+ */
 public final class EndpointListParser {
 
     private static final long FNV_BASIS = 0xCBF29CE484222325L;
@@ -22,17 +24,20 @@
     private final SiteSettings site;
     private final LongSupplier clock;
     private final LongSupplier unixMillis;
-    private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<String, Start> starts = new HashMap<>();
-    private final Map<Long, String> names = new HashMap<>();
+    private final Map<String, Long> numbersById = new HashMap<>();
+    private final Map<String, Start> startsById = new HashMap<>();
+    private final Map<Long, String> idsByNumber = new HashMap<>();
     private long idChars;
 
-    /** An endpoint's start as discovery tells it, and as an instant of the program's clock. */
+    /**
+     * An endpoint's start time as discovery reports it, in milliseconds since 1970, and as an
+     * instant of the program's clock in nanoseconds.
+     */
     private record Start(double millis, long instant) {}
 
     /**
      * @param clock the program's clock, in nanoseconds
-     * @param unixMillis the machine's own clock, which may be set at any time
+     * @param unixMillis the machine's wall clock in milliseconds, which may be set at any time
      */
     public EndpointListParser(SiteSettings site, LongSupplier clock, LongSupplier unixMillis) {
         this.site = site;
@@ -40,16 +45,19 @@
         this.unixMillis = unixMillis;
     }
 
-    /** How many endpoints have a number. */
+    /** Returns how many endpoints have a number. */
     int size() {
-        return numbers.size();
+        return numbersById.size();
     }
 
     /**
-     * Reads a result; an IllegalArgumentException says what is wrong with it as a whole. Of an
-     * entry that can't be read the result tells, and its endpoint counts as gone: nobody knows
-     * whether it drains. This avoids one such entry keeping all others from being read, drains
-     * among them, for as long as it stays.
+     * Parses an endpoint list.
+     *
+     * <p>An entry that can't be read is reported in the result, and its endpoint counts as removed,
+     * since its drain state is unknown. Otherwise one such entry would block all other entries,
+     * including drains, until it disappeared.
+     *
+     * @throws IllegalArgumentException if the list as a whole can't be read; the message says why
      */
     public EndpointList read(JsonObject json) {
         long version = json.integer("version");
@@ -69,27 +77,31 @@
                 nodes.add(node(entries.get(i)));
             } catch (IllegalArgumentException e) {
                 unread.add("servers[" + i + "]: " + e.getMessage());
-                goneUnread(entries.get(i), full, nodes);
+                addUnreadableAsRemoved(entries.get(i), full, nodes);
             }
         }
         if (full && nodes.isEmpty() && !unread.isEmpty()) {
             throw new IllegalArgumentException(
-                    unread.get(0)); // the list before is worth more than none
+                    unread.get(0)); // the previous list is more useful than an empty one
         }
         if (full) {
             Set<String> listed = new HashSet<>();
             nodes.forEach(node -> listed.add(node.name()));
-            List.copyOf(numbers.keySet()).stream()
+            List.copyOf(numbersById.keySet()).stream()
                     .filter(id -> !listed.contains(id))
                     .forEach(this::forget);
         }
         return new EndpointList(version, full, List.copyOf(nodes), List.copyOf(unread));
     }
 
-    /** A whole list needs no word of it: what it does not name is gone. */
-    private void goneUnread(JsonObject entry, boolean full, List<EndpointList.Node> nodes) {
+    /**
+     * Adds the endpoint of an unreadable entry as removed, if it has a number. A full list needs no
+     * such entry, since an endpoint that a full list omits counts as removed.
+     */
+    private void addUnreadableAsRemoved(
+            JsonObject entry, boolean full, List<EndpointList.Node> nodes) {
         String id = entry.isText("id") ? entry.text("id", "") : "";
-        if (!full && numbers.containsKey(id)) {
+        if (!full && numbersById.containsKey(id)) {
             nodes.add(
                     new EndpointList.Node(
                             id,
@@ -99,63 +111,61 @@
         }
     }
 
-    /** Whether this endpoint has a number. */
+    /** Returns whether this endpoint has a number. */
     boolean knows(String id) {
-        return numbers.containsKey(id);
+        return numbersById.containsKey(id);
     }
 
     /**
-     * When an endpoint began by what discovery says, in milliseconds since 1970; 0: long ago, or
-     * not known.
+     * Returns the start time of an endpoint according to discovery, in milliseconds since 1970; 0
+     * where the start is long ago or unknown.
      */
     public long startMillis(String id) {
-        Start known = starts.get(id);
+        Start known = startsById.get(id);
         return known == null ? 0 : Math.max(0, (long) known.millis());
     }
 
-    /** Characters of all ids that have a number. */
+    /** Returns the number of characters of all ids that have a number. */
     long idChars() {
         return idChars;
     }
 
-    /**
-     * This avoids keeping every id of a long day: an endpoint that is gone needs no number any
-     * more.
-     */
+    /** Removes an endpoint that is gone, so that the ids of a long day don't accumulate. */
     private void forget(String id) {
-        starts.remove(id);
-        Long number = numbers.remove(id);
+        startsById.remove(id);
+        Long number = numbersById.remove(id);
         idChars -= number == null ? 0 : id.length();
-        names.remove(number);
+        idsByNumber.remove(number);
     }
 
     /**
-     * The instant of an endpoint's start; 0: long ago. It is worked out when the start is first
-     * told, by what the clocks say then, and kept. This avoids a restart being seen in a start time
-     * that was mapped a little differently, and against a cold endpoint being taken for a warm one,
-     * or the other way round, once the machine's clock was set.
+     * Returns the instant of an endpoint's start; 0 for long ago.
+     *
+     * <p>The instant is computed from both clocks when the start time is first reported, and
+     * cached. If it were computed again, a slightly different result would look like a restart, and
+     * after the machine's clock was set a cold endpoint would look warm or a warm one cold.
      */
     private long startedAt(String id, double millis) {
-        Start known = starts.get(id);
+        Start known = startsById.get(id);
         if (known == null || known.millis() != millis) {
             double age = Math.max(0, unixMillis.getAsLong() - millis);
             known = new Start(millis, millis == 0 ? 0 : clock.getAsLong() - (long) (age * 1e6));
-            starts.put(id, known);
+            startsById.put(id, known);
         }
         return known.instant();
     }
 
     private EndpointList.Node node(JsonObject entry) {
-        String word = entry.text("state", null);
+        String stateText = entry.text("state", null);
         EndpointStatus state =
-                switch (word) {
+                switch (stateText) {
                     case "in_service" -> EndpointStatus.READY;
                     case "terminating" -> EndpointStatus.DRAINING;
                     case "terminated" -> EndpointStatus.REMOVED;
                     default ->
                             throw new IllegalArgumentException(
                                     "unknown state '"
-                                            + word
+                                            + stateText
                                             + "'; allowed: in_service, terminating, terminated");
                 };
         String id = entry.text("id", null);
@@ -176,25 +186,28 @@
     }
 
     /**
-     * The number of an endpoint: a hash of its id, so that all proxies of a tier number an endpoint
-     * alike, which the balancer's common order of endpoints rests on. Where two ids collide the
-     * later one takes the next number.
+     * Returns the number of an endpoint: a hash of its id, so that all proxies of a tier number an
+     * endpoint alike. The balancer's common order of endpoints depends on this. Where two ids
+     * collide, the later one gets the next number.
      */
     private long number(String id) {
-        Long known = numbers.get(id);
+        Long known = numbersById.get(id);
         if (known != null) {
             return known;
         }
         long number = hash(id);
-        while (names.putIfAbsent(number, id) != null) {
+        while (idsByNumber.putIfAbsent(number, id) != null) {
             number = number + 1 & ID_MASK;
         }
-        numbers.put(id, number);
+        numbersById.put(id, number);
         idChars += id.length();
         return number;
     }
 
-    /** The number of the one endpoint whose id has it; where ids collide, of the first. */
+    /**
+     * Returns the hash of an id, which is the number of its endpoint; where ids collide, the number
+     * of the first.
+     */
     public static long hash(String id) {
         long hash = FNV_BASIS;
         for (byte b : id.getBytes(StandardCharsets.UTF_8)) {
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -12,11 +12,12 @@
 import java.util.function.Predicate;
 
 /**
- * Reads the texts of endpoint lists within a given room of the heap. A text is looked through
- * first, without an object made of it. What fits is read as it is. Of what does not fit, endpoints
- * are added in the list's order for as long as there is room, and the others are left out, to be
- * told again; all that it says of endpoints that are known is read, so that those that leave or
- * drain do so.
+ * Reads endpoint lists within a given heap capacity.
+ *
+ * <p>A text is first scanned without creating objects. A list that fits is read completely. Of a
+ * list that doesn't fit, endpoints are added in the list's order until the capacity is reached; the
+ * others are left out until discovery sends them again. All entries of known endpoints are read, so
+ * that removals and drains take effect.
  */
 public final class EndpointListReader {
 
@@ -28,31 +29,31 @@
     private final int fromNodes;
 
     /**
-     * Characters of an entry in a list beside its id and values: names of members, numbers, marks.
+     * Characters of a list entry besides its id and values: member names, numbers and punctuation.
      */
     private static final int ENTRY_CHARS = 100;
 
-    /** The largest text so far, whose buffer a watch keeps. */
-    private long largest;
+    /** Length of the largest text so far; a watch retains a buffer of this size. */
+    private long largestText;
 
     private Judged last;
     private int mayAdd;
-    private Consumer<Judged> judged = verdict -> {};
+    private Consumer<Judged> verdictListener = verdict -> {};
 
     /**
-     * What came of a list.
+     * The outcome of reading a list.
      *
-     * @param fits whether all of it may be loaded at once
-     * @param bound the one that is nearest, or that binds, as operators read it
-     * @param needed bytes that the whole list takes under it
-     * @param capacity bytes that there are
-     * @param held endpoints that were held before
-     * @param wanted endpoints that the list would have this process hold
-     * @param waits this many of those were left out
-     * @param steps how many endpoints each telling adds where it does not fit at once; this one the
-     *     first
-     * @param all what would be held with all of it
-     * @param then what will be held once it has been read
+     * @param fits whether the whole list may be loaded at once
+     * @param bound the limit that is nearest or exceeded, by its name for operators
+     * @param needed bytes that the whole list takes under this limit
+     * @param capacity bytes that are available
+     * @param held number of endpoints that were loaded before
+     * @param wanted number of endpoints that this process would have with the whole list
+     * @param waits number of endpoints that were left out
+     * @param steps how many endpoints each delivery of the list adds where the list doesn't fit at
+     *     once, starting with this one
+     * @param all what would be loaded with the whole list
+     * @param then what will be loaded after this reading
      */
     public record Judged(
             boolean fits,
@@ -66,19 +67,19 @@
             EndpointListShape all,
             EndpointListShape then) {
 
-        /** This many endpoints get in by no step. */
+        /** Returns how many endpoints no step adds. */
         public int never() {
             return waits - steps.stream().skip(1).mapToInt(Integer::intValue).sum();
         }
 
-        /** What comes of it, as operators read it. */
+        /** Returns the outcome by its name for operators. */
         public String outcome() {
             return fits ? "fits" : never() == 0 ? "fits_in_steps" : "does_not_fit";
         }
     }
 
-    /** What a text looks like. */
-    private static final class Look {
+    /** Sizes of a list, counted without loading the list. */
+    private static final class ListSizes {
         private boolean full;
         private int nodes;
         private int added;
@@ -87,9 +88,9 @@
     }
 
     /**
-     * @param reader reads what this one lets through, and says what is known
+     * @param reader parses the admitted entries, and knows which endpoints are loaded
      * @param capacity bytes of heap for endpoints and their lists
-     * @param fromNodes with fewer endpoints than that nothing is left out
+     * @param fromNodes number of endpoints below which none is left out
      */
     public EndpointListReader(
             EndpointListFootprint footprint,
@@ -102,70 +103,71 @@
         this.fromNodes = fromNodes;
     }
 
-    /** Receives each verdict, before anything is loaded. */
+    /** Sets the listener that receives each verdict, before anything is loaded. */
     public void whenJudged(Consumer<Judged> listener) {
-        judged = listener;
+        verdictListener = listener;
     }
 
-    /** What is held, as far as it costs anything. */
+    /** Returns the sizes of what is loaded, as far as they affect memory. */
     public EndpointListShape held() {
         EndpointListShape like = last == null ? EndpointListShape.NONE : last.then();
         return new EndpointListShape(
                 reader.size(),
-                largest,
+                largestText,
                 reader.idChars(),
                 like.nodes() == 0 ? 0 : like.valueChars() * reader.size() / like.nodes());
     }
 
-    /** Bytes for endpoints and their lists that what is held leaves at rest. */
+    /** Returns the bytes of the capacity that remain free at rest. */
     public long left() {
         return Math.max(0, capacity - footprint.atRest(held()));
     }
 
-    /** This many endpoints like those that are held there is room for. */
+    /** Returns how many endpoints like the loaded ones fit into the capacity. */
     public int max() {
         return footprint.max(held(), capacity);
     }
 
-    /** What came of the last list; null before the first one. */
+    /** Returns the outcome of the last list; null before the first one. */
     public Judged last() {
         return last;
     }
 
     /**
-     * Whether endpoints of the last list have left since it was read, so that more of it may fit
-     * now.
+     * Returns whether endpoints have been removed since the last list was read, so that more of
+     * that list may fit now.
      */
     public boolean roomier() {
         return last.waits() > 0 && reader.size() < last.held() + mayAdd;
     }
 
     /**
-     * Reads a text that holds an endpoint list; an IllegalArgumentException says that it holds
-     * none.
+     * Reads a text that contains an endpoint list.
+     *
+     * @throws IllegalArgumentException if the text contains none
      */
     public JsonObject read(String text) {
-        Look look = look(text);
-        largest = Math.max(largest, text.length());
-        return judge(look, text.length())
+        ListSizes sizes = countSizes(text);
+        largestText = Math.max(largestText, text.length());
+        return judge(sizes, text.length())
                 ? JsonObject.parse(text)
-                : JsonObject.parse(text, ENTRIES, taken());
+                : JsonObject.parse(text, ENTRIES, admittedEntries());
     }
 
-    /** The same of the whole list with which the process starts; its text has gone. */
+    /** Reads the full list with which the process starts, whose text is no longer available. */
     public JsonObject read(JsonObject list) {
         EndpointListShape shape = shape(list);
-        Look look = new Look();
-        look.full = true;
-        look.nodes = shape.nodes();
-        look.idChars = shape.idChars();
-        look.valueChars = shape.valueChars();
-        look.added =
+        ListSizes sizes = new ListSizes();
+        sizes.full = true;
+        sizes.nodes = shape.nodes();
+        sizes.idChars = shape.idChars();
+        sizes.valueChars = shape.valueChars();
+        sizes.added =
                 (int) list.objects(ENTRIES, true).stream().filter(entry -> !isGone(entry)).count();
-        return judge(look, shape.textBytes()) ? list : list.without(ENTRIES, taken());
+        return judge(sizes, shape.textBytes()) ? list : list.without(ENTRIES, admittedEntries());
     }
 
-    /** What a whole list is like, as discovery would tell it. */
+    /** Returns the sizes of a full list, as discovery would send it. */
     public static EndpointListShape shape(JsonObject list) {
         int nodes = 0;
         long ids = 0;
@@ -186,15 +188,18 @@
         return entry != null && entry.isText(key) ? entry.text(key, null).length() : 0;
     }
 
-    /** Whether all of it may be loaded at once. */
-    private boolean judge(Look look, long textBytes) {
+    /**
+     * Judges a list, notifies the listener, and returns whether the whole list may be loaded at
+     * once.
+     */
+    private boolean judge(ListSizes sizes, long textBytes) {
         EndpointListShape held = held();
         EndpointListShape list =
-                new EndpointListShape(look.nodes, textBytes, look.idChars, look.valueChars);
-        Verdict verdict = footprint.judge(held, list, look.added, look.full, capacity);
-        int wanted = look.full ? look.nodes : held.nodes() + look.added;
+                new EndpointListShape(sizes.nodes, textBytes, sizes.idChars, sizes.valueChars);
+        Verdict verdict = footprint.judge(held, list, sizes.added, sizes.full, capacity);
+        int wanted = sizes.full ? sizes.nodes : held.nodes() + sizes.added;
         boolean isFull = verdict.fits() || wanted < fromNodes;
-        mayAdd = isFull ? look.added : verdict.step();
+        mayAdd = isFull ? sizes.added : verdict.step();
         last =
                 new Judged(
                         isFull,
@@ -203,50 +208,50 @@
                         capacity,
                         held.nodes(),
                         wanted,
-                        look.added - mayAdd,
+                        sizes.added - mayAdd,
                         isFull
                                 ? List.of()
-                                : footprint.steps(held, list, look.added, look.full, capacity),
-                        after(held, list, look, look.added),
-                        after(held, list, look, mayAdd));
-        judged.accept(last);
+                                : footprint.steps(held, list, sizes.added, sizes.full, capacity),
+                        after(held, list, sizes, sizes.added),
+                        after(held, list, sizes, mayAdd));
+        verdictListener.accept(last);
         return isFull;
     }
 
     /**
-     * What is held once this many of the endpoints that a list adds were added, and what it ends
-     * has left.
+     * Returns the sizes after {@code added} of the list's new endpoints have been added and the
+     * endpoints that the list ends have been removed.
      */
     private EndpointListShape after(
-            EndpointListShape held, EndpointListShape list, Look look, int added) {
+            EndpointListShape held, EndpointListShape list, ListSizes sizes, int added) {
         EndpointListShape all =
-                look.full
-                        ? list.withNodes(list.nodes() - look.added + added)
+                sizes.full
+                        ? list.withNodes(list.nodes() - sizes.added + added)
                         : held.plus(list, added);
-        return new EndpointListShape(all.nodes(), largest, all.idChars(), all.valueChars());
+        return new EndpointListShape(all.nodes(), largestText, all.idChars(), all.valueChars());
     }
 
-    /** Known endpoints, and of the others as many as fit. */
-    private Predicate<JsonObject> taken() {
-        int[] left = {mayAdd};
-        return entry -> entry != null && known(entry) || !isGone(entry) && left[0]-- > 0;
+    /** Returns a filter that accepts known endpoints, and of the others as many as fit. */
+    private Predicate<JsonObject> admittedEntries() {
+        int[] remaining = {mayAdd};
+        return entry -> entry != null && known(entry) || !isGone(entry) && remaining[0]-- > 0;
     }
 
     private boolean known(JsonObject entry) {
         return entry.isText("id") && reader.knows(entry.text("id", null));
     }
 
-    /** An endpoint that is not known and has left is nothing to be added. */
+    /** Returns whether an entry's endpoint is terminated; if unknown, it need not be added. */
     private static boolean isGone(JsonObject entry) {
-        return entry != null && entry.isText("state") && gone(entry.text("state", null));
+        return entry != null && entry.isText("state") && isTerminated(entry.text("state", null));
     }
 
-    private static boolean gone(String state) {
+    private static boolean isTerminated(String state) {
         return state.equals("terminated");
     }
 
-    private Look look(String text) {
-        Look look = new Look();
+    private ListSizes countSizes(String text) {
+        ListSizes sizes = new ListSizes();
         try (JsonParser parser = JsonObject.JSON.createParser(text)) {
             parser.nextToken();
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -254,21 +259,21 @@
                 JsonToken token = parser.nextToken();
                 if (name.equals(ENTRIES) && token == JsonToken.START_ARRAY) {
                     while (parser.nextToken() != JsonToken.END_ARRAY) {
-                        entry(parser, look);
+                        countEntry(parser, sizes);
                     }
                 } else {
-                    look.full = name.equals("full") ? token == JsonToken.VALUE_TRUE : look.full;
+                    sizes.full = name.equals("full") ? token == JsonToken.VALUE_TRUE : sizes.full;
                     parser.skipChildren();
                 }
             }
         } catch (IOException e) {
             throw new IllegalArgumentException("not JSON");
         }
-        return look;
+        return sizes;
     }
 
-    private void entry(JsonParser parser, Look look) throws IOException {
-        look.nodes++;
+    private void countEntry(JsonParser parser, ListSizes sizes) throws IOException {
+        sizes.nodes++;
         boolean adds = true;
         if (parser.currentToken() == JsonToken.START_OBJECT) {
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -276,16 +281,16 @@
                 if (!parser.nextToken().isScalarValue()) {
                     parser.skipChildren();
                 } else if (name.equals("id")) {
-                    look.idChars += parser.getTextLength();
+                    sizes.idChars += parser.getTextLength();
                     adds &= !reader.knows(parser.getText());
                 } else if (parser.currentToken() == JsonToken.VALUE_STRING) {
-                    look.valueChars += parser.getTextLength();
-                    adds &= !name.equals("state") || !gone(parser.getText());
+                    sizes.valueChars += parser.getTextLength();
+                    adds &= !name.equals("state") || !isTerminated(parser.getText());
                 }
             }
         } else {
             parser.skipChildren();
         }
-        look.added += adds ? 1 : 0;
+        sizes.added += adds ? 1 : 0;
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/FieldName.java
+++ b/daemon/src/main/java/cedarrudder/protocol/FieldName.java
@@ -5,14 +5,14 @@
 import java.util.Set;
 
 /**
- * The name of a header field, and what follows from it. Names that are usual are made once: a
- * message has some ten fields, and making the texts of each name anew was the largest cost of
- * reading it.
+ * The name of a header field, with the properties that follow from the name. Instances for common
+ * names are created once: a message has some ten fields, and creating the strings of each name
+ * again was the largest cost of parsing a message.
  */
 public final class FieldName {
 
-    /** Fields that concern one connection alone, or that are written anew. */
-    private static final Set<String> NOT_PASSED_ON =
+    /** Hop-by-hop fields, and fields that the proxy writes itself. */
+    private static final Set<String> NOT_FORWARDED =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -25,8 +25,8 @@
                     "expect",
                     "srv-load");
 
-    /** Those that are seen often; others are read as well, and made anew. */
-    private static final String[] USUAL = {
+    /** Common names; an instance for any other name is created for each message. */
+    private static final String[] COMMON_NAMES = {
         "Host",
         "Connection",
         "Keep-Alive",
@@ -51,22 +51,25 @@
         "Retry-After"
     };
 
-    /** A power of two, some times larger than there are usual names in two spellings. */
+    /**
+     * Size of the table: a power of two, several times the number of common names in their two
+     * spellings.
+     */
     private static final int SLOTS = 256;
 
     private static final FieldName[] TABLE = new FieldName[SLOTS];
 
     static {
-        for (String name : USUAL) {
-            learn(new FieldName(name));
-            learn(new FieldName(name.toLowerCase(Locale.ROOT)));
+        for (String name : COMMON_NAMES) {
+            addToTable(new FieldName(name));
+            addToTable(new FieldName(name.toLowerCase(Locale.ROOT)));
         }
     }
 
     private final String text;
     private final String key;
     private final byte[] bytes;
-    private final boolean passedOn;
+    private final boolean forwardable;
     private final boolean isEndToEnd;
 
     private FieldName(String text) {
@@ -74,12 +77,12 @@
         String lower = text.toLowerCase(Locale.ROOT);
         this.key = lower.equals(text) ? text : lower;
         this.bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-        this.passedOn = !NOT_PASSED_ON.contains(key);
+        this.forwardable = !NOT_FORWARDED.contains(key);
         this.isEndToEnd =
                 key.startsWith("req-") || key.equals("idempotency-key") || key.equals("host");
     }
 
-    private static void learn(FieldName name) {
+    private static void addToTable(FieldName name) {
         int at = slot(name.bytes, 0, name.bytes.length);
         while (TABLE[at] != null) {
             at = at + 1 & SLOTS - 1;
@@ -87,18 +90,18 @@
         TABLE[at] = name;
     }
 
-    /** A name that is given as text: a token, since it is the program's own. */
+    /** Returns the name with this text, which must be a token. */
     static FieldName of(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-        FieldName usual = usual(bytes, 0, bytes.length);
-        return usual != null ? usual : new FieldName(text);
+        FieldName common = findCommon(bytes, 0, bytes.length);
+        return common != null ? common : new FieldName(text);
     }
 
-    /** The name that these bytes hold; null where they hold none (RFC 9110 5.1: a token). */
+    /** Returns the name in these bytes; null where they are not a token (RFC 9110 5.1). */
     static FieldName read(byte[] bytes, int from, int to) {
-        FieldName usual = from < to ? usual(bytes, from, to) : null;
-        if (usual != null) {
-            return usual;
+        FieldName common = from < to ? findCommon(bytes, from, to) : null;
+        if (common != null) {
+            return common;
         }
         for (int i = from; i < to; i++) {
             if (!MessageHead.inToken(bytes[i])) {
@@ -110,9 +113,9 @@
                 : new FieldName(new String(bytes, from, to - from, StandardCharsets.ISO_8859_1));
     }
 
-    private static FieldName usual(byte[] bytes, int from, int to) {
+    private static FieldName findCommon(byte[] bytes, int from, int to) {
         for (int at = slot(bytes, from, to); TABLE[at] != null; at = at + 1 & SLOTS - 1) {
-            if (TABLE[at].is(bytes, from, to)) {
+            if (TABLE[at].matches(bytes, from, to)) {
                 return TABLE[at];
             }
         }
@@ -120,8 +123,8 @@
     }
 
     /**
-     * Length and three bytes: enough to tell the usual names apart, and the same cost for a long
-     * name.
+     * Hashes the length and three bytes, which distinguish the common names well enough and cost
+     * the same for a long name.
      */
     private static int slot(byte[] bytes, int from, int to) {
         int length = to - from;
@@ -130,7 +133,7 @@
         return hash * 31 + bytes[from + length / 2] & SLOTS - 1;
     }
 
-    private boolean is(byte[] other, int from, int to) {
+    private boolean matches(byte[] other, int from, int to) {
         if (to - from != bytes.length) {
             return false;
         }
@@ -142,24 +145,24 @@
         return true;
     }
 
-    /** As it came. */
+    /** Returns the name as received. */
     public String text() {
         return text;
     }
 
-    /** In lower case, which names are compared in. */
+    /** Returns the name in lower case, for comparisons. */
     public String key() {
         return key;
     }
 
-    /** Whether such a field may go further than the connection it came on. */
-    boolean passedOn() {
-        return passedOn;
+    /** Returns whether such a field may be forwarded beyond the connection on which it arrived. */
+    boolean isForwardable() {
+        return forwardable;
     }
 
     /**
-     * Whether it goes further even where {@code Connection} lists it. This avoids a client that
-     * strips a request of what makes it one, its key say.
+     * Returns whether the field is forwarded even where {@code Connection} lists it. Otherwise a
+     * client could strip a request of essential fields, such as its idempotency key.
      */
     boolean isEndToEnd() {
         return isEndToEnd;
--- a/daemon/src/main/java/cedarrudder/protocol/HeaderFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HeaderFields.java
@@ -5,16 +5,16 @@
 import java.util.Locale;
 
 /**
- * The header fields of a message, in their order. Names are compared in lower case; those asked for
- * are given in lower case. Fields are gone through by index: an iterator for each look-up is
- * garbage, some twenty times a message.
+ * The header fields of a message, in their order. Names are compared in lower case, and callers
+ * pass them in lower case. Fields are accessed by index: an iterator for each look-up is garbage,
+ * some twenty times per message.
  */
 public final class HeaderFields {
 
-    /** A field. */
+    /** A header field. */
     public record Field(FieldName name, String value) {
 
-        /** Its name in lower case. */
+        /** Returns the name in lower case. */
         public String key() {
             return name.key();
         }
@@ -26,7 +26,7 @@
         fields.add(field);
     }
 
-    /** Sets a field that is there once at most. */
+    /** Sets a field that occurs at most once. */
     void set(String name, String value) {
         Field set = new Field(FieldName.of(name), value);
         for (int i = 0; i < fields.size(); i++) {
@@ -42,7 +42,7 @@
         return fields;
     }
 
-    /** The value of a field, or null where there is none. */
+    /** Returns the value of a field, or null where the field is absent. */
     public String get(String key) {
         for (int i = 0; i < fields.size(); i++) {
             Field field = fields.get(i);
@@ -53,7 +53,9 @@
         return null;
     }
 
-    /** The value of a field that must not come twice, or null where there is none. */
+    /**
+     * Returns the value of a field that must not occur twice, or null where the field is absent.
+     */
     String single(String key) throws MalformedMessageException {
         String found = null;
         for (int i = 0; i < fields.size(); i++) {
@@ -68,7 +70,7 @@
         return found;
     }
 
-    /** The value of a field that is there once; else null. */
+    /** Returns the value of a field that occurs exactly once; null otherwise. */
     String only(String key) {
         String found = null;
         for (int i = 0; i < fields.size(); i++) {
@@ -83,8 +85,11 @@
         return found;
     }
 
-    /** Whether a field that holds a list of words holds this one. */
-    boolean lists(String key, String word) {
+    /**
+     * Returns whether a field that contains a comma-separated list contains this word, ignoring
+     * case.
+     */
+    boolean containsToken(String key, String word) {
         for (int i = 0; i < fields.size(); i++) {
             Field field = fields.get(i);
             if (field.key().equals(key)) {
@@ -99,11 +104,11 @@
     }
 
     /**
-     * The names, in lower case, that {@code Connection} gives of fields which concern one
-     * connection alone (RFC 9110 7.6.1); empty where it holds nothing but the usual options, which
-     * come without a list.
+     * Returns the names, in lower case, of the hop-by-hop fields that {@code Connection} lists (RFC
+     * 9110 7.6.1); empty, without creating a list, where the field contains only one of the usual
+     * options.
      */
-    List<String> ofConnection() {
+    List<String> connectionOptions() {
         List<String> listed = List.of();
         for (int i = 0; i < fields.size(); i++) {
             Field field = fields.get(i);
--- a/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
@@ -152,7 +152,7 @@
             return false;
         }
         continueReported = true;
-        return !head.isOld() && head.fields().lists("expect", "100-continue");
+        return !head.isHttp10() && head.fields().containsToken("expect", "100-continue");
     }
 
     /**
@@ -461,7 +461,7 @@
         }
         if (coding != null) {
             // Prevents request smuggling: two parties must not disagree on where a body ends.
-            if (length != null || head.isOld()) {
+            if (length != null || head.isHttp10()) {
                 throw MalformedMessageException.badRequest("unclear length");
             }
             if (!coding.equalsIgnoreCase("chunked")) {
--- a/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
@@ -40,7 +40,7 @@
                         .append(' ')
                         .append(request.head().target())
                         .append(" HTTP/1.1\r\n");
-        List<String> listed = request.head().fields().ofConnection();
+        List<String> listed = request.head().fields().connectionOptions();
         List<HeaderFields.Field> fields = request.head().fields().all();
         for (int i = 0; i < fields.size(); i++) {
             HeaderFields.Field field = fields.get(i);
@@ -66,7 +66,7 @@
      * lists the given names.
      */
     private static boolean isForwarded(HeaderFields.Field field, List<String> listed) {
-        return field.name().passedOn()
+        return field.name().isForwardable()
                 && (listed.isEmpty() || field.name().isEndToEnd() || !listed.contains(field.key()));
     }
 
@@ -102,7 +102,7 @@
             DownstreamFeedback result,
             boolean chunks) {
         StringBuilder head = start(200, close);
-        List<String> listed = answer.head().fields().ofConnection();
+        List<String> listed = answer.head().fields().connectionOptions();
         List<HeaderFields.Field> fields = answer.head().fields().all();
         for (int i = 0; i < fields.size(); i++) {
             HeaderFields.Field field = fields.get(i);
--- a/daemon/src/main/java/cedarrudder/protocol/HttpMessage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpMessage.java
@@ -5,17 +5,18 @@
 /**
  * An HTTP/1.1 message.
  *
- * @param body the body, or the first bytes of it
- * @param rest how the rest of it comes; null where the body is whole
+ * @param body the body, or its first bytes
+ * @param rest the rest of the body, which follows in pieces; null where {@code body} is the whole
+ *     body
  */
 public record HttpMessage(MessageHead head, byte[] body, BodyRemainder rest) {
 
-    /** A whole message. */
+    /** Creates a message with a whole body. */
     public HttpMessage(MessageHead head, byte[] body) {
         this(head, body, null);
     }
 
-    /** The request that these bytes hold. */
+    /** Parses a request. */
     public static HttpMessage requestOf(ByteBuf bytes) throws MalformedMessageException {
         return HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY).decode(bytes);
     }
--- a/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
+++ b/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
@@ -11,15 +11,17 @@
 import java.util.function.Predicate;
 
 /**
- * A JSON object, read with the streaming parser, and its name for messages. Its readers throw an
- * IllegalArgumentException that says what is missing or wrong. A default of null (or none) makes a
- * key required.
+ * A JSON object, read with the streaming parser, and its path for messages. The readers throw an
+ * IllegalArgumentException that says what is missing or wrong. A default of null, or a reader
+ * without a default, makes a key required.
  */
 public final class JsonObject {
 
     static final JsonFactory JSON = new JsonFactory();
 
-    /** Stands where an element was left out, so that those behind it keep their places. */
+    /**
+     * Placeholder for an element that was left out, so that the later elements keep their indexes.
+     */
     static final JsonObject LEFT_OUT = new JsonObject(Map.of(), "");
 
     private final Map<?, ?> members;
@@ -30,15 +32,15 @@
         this.path = path;
     }
 
-    /** Reads a text that holds one object. */
+    /** Parses a text that contains one object. */
     public static JsonObject parse(String text) {
         return parse(text, null, null);
     }
 
     /**
-     * The same, but of a list under this key those elements go as soon as they are read that are
-     * not taken, with {@link #LEFT_OUT} in their places; an element that is no object is asked for
-     * as null.
+     * Parses a text that contains one object, and replaces the elements of the list {@code list}
+     * that {@code taken} rejects with {@link #LEFT_OUT} as soon as they are read. The predicate
+     * receives null for an element that is not an object.
      */
     static JsonObject parse(String text, String list, Predicate<JsonObject> taken) {
         Object value;
@@ -58,8 +60,8 @@
     }
 
     /**
-     * The value that begins at the parser's token. The parser itself bounds how deep values may
-     * nest.
+     * Reads the value that begins at the parser's current token. The parser itself limits the
+     * nesting depth.
      */
     private static Object value(JsonParser parser, String list, Predicate<JsonObject> taken)
             throws IOException {
@@ -117,37 +119,40 @@
         return value;
     }
 
-    private IllegalArgumentException wrong(String key, String wanted) {
+    private IllegalArgumentException wrongType(String key, String wanted) {
         return new IllegalArgumentException("'" + path + key + "' is not " + wanted);
     }
 
     private Number number(String key, boolean required) {
         Object value = get(key, required);
         if (value != null && !(value instanceof Number)) {
-            throw wrong(key, "a number");
+            throw wrongType(key, "a number");
         }
         return (Number) value;
     }
 
-    /** A number; the other value where the key is missing. */
+    /** Reads an optional number. */
     public double number(String key, double otherwise) {
         Number value = number(key, false);
         return value == null ? otherwise : value.doubleValue();
     }
 
-    /** A whole number that must be there. */
+    /** Reads a required integer. */
     public long integer(String key) {
         Number value = number(key, true);
         return value instanceof Double ? (long) value.doubleValue() : value.longValue();
     }
 
-    /** The same, within bounds; else the message has what was found and what is allowed. */
+    /**
+     * Reads a required integer within bounds; the message of an error names the value found and the
+     * values allowed.
+     */
     public long integer(String key, long min, long max) {
         long value = integer(key);
         return (long) within(key, value, min, max);
     }
 
-    /** The same for a number that may be left out. */
+    /** Reads an optional number within bounds. */
     public double number(String key, double otherwise, double min, double max) {
         return within(key, number(key, otherwise), min, max);
     }
@@ -168,7 +173,7 @@
         return value == (long) value ? Long.toString((long) value) : Double.toString(value);
     }
 
-    /** One of some words; null as the default makes it required. */
+    /** Reads one of the allowed words; required where the default is null. */
     public String word(String key, String otherwise, List<String> allowed) {
         String word = text(key, otherwise);
         if (!allowed.contains(word)) {
@@ -177,31 +182,31 @@
         return word;
     }
 
-    /** Says what was found under a key, and what is allowed there. */
+    /** Returns an error that names the value found under a key and the values allowed. */
     public IllegalArgumentException notAllowed(String key, String found, String allowed) {
         return new IllegalArgumentException(
                 "'" + path + key + "': found " + found + "; allowed: " + allowed);
     }
 
-    /** A boolean; the other value where the key is missing. */
+    /** Reads an optional boolean. */
     public boolean flag(String key, boolean otherwise) {
         Object value = get(key, false);
         if (value != null && !(value instanceof Boolean)) {
-            throw wrong(key, "true or false");
+            throw wrongType(key, "true or false");
         }
         return value == null ? otherwise : (Boolean) value;
     }
 
-    /** A text; the other value where the key is missing, which must be there where that is null. */
+    /** Reads a string; required where the default is null. */
     public String text(String key, String otherwise) {
         Object value = get(key, otherwise == null);
         if (value instanceof Map || value instanceof List) {
-            throw wrong(key, "a text");
+            throw wrongType(key, "a text");
         }
         return value == null ? otherwise : value.toString();
     }
 
-    /** Whether a key has what can be read as a text. */
+    /** Returns whether the value of a key can be read as a string. */
     public boolean isText(String key) {
         Object value = members.get(key);
         return value != null && !(value instanceof Map) && !(value instanceof List);
@@ -210,35 +215,35 @@
     private List<?> array(String key, boolean required) {
         Object value = get(key, required);
         if (value != null && !(value instanceof List)) {
-            throw wrong(key, "a list");
+            throw wrongType(key, "a list");
         }
         return value == null ? List.of() : (List<?>) value;
     }
 
-    /** A list of texts. */
+    /** Reads a list of strings; empty where the key is absent. */
     public List<String> texts(String key) {
         List<String> texts = new ArrayList<>();
         for (Object element : array(key, false)) {
             if (!(element instanceof String text)) {
-                throw wrong(key, "a list of texts");
+                throw wrongType(key, "a list of texts");
             }
             texts.add(text);
         }
         return texts;
     }
 
-    /** A list of objects, none of them null. */
+    /** Reads a list of objects, none of them null. */
     public List<JsonObject> list(String key, boolean required) {
         List<JsonObject> objects = objects(key, required);
         if (objects.contains(null)) {
-            throw wrong(key, "a list of objects");
+            throw wrongType(key, "a list of objects");
         }
         return objects;
     }
 
     /**
-     * The objects of a list, and what stands for those that were left out; null where an element is
-     * none.
+     * Reads a list of objects, with {@link #LEFT_OUT} for elements that were left out and null for
+     * elements that are not objects.
      */
     public List<JsonObject> objects(String key, boolean required) {
         List<JsonObject> objects = new ArrayList<>();
@@ -254,7 +259,10 @@
         return objects;
     }
 
-    /** The same without those elements of a list that are not taken. */
+    /**
+     * Returns a copy of this object in which {@link #LEFT_OUT} replaces the elements of a list that
+     * {@code taken} rejects.
+     */
     JsonObject without(String list, Predicate<JsonObject> taken) {
         Map<String, Object> members = new LinkedHashMap<>();
         this.members.forEach((name, value) -> members.put((String) name, value));
@@ -273,11 +281,14 @@
         return new JsonObject(members, path);
     }
 
-    /** A part that may be left out; what is required in it is then missing. */
+    /**
+     * Reads an optional object; where the key is absent, returns an empty object, whose required
+     * keys are then missing.
+     */
     public JsonObject child(String key) {
         Object value = get(key, false);
         if (value != null && !(value instanceof Map)) {
-            throw wrong(key, "an object");
+            throw wrongType(key, "an object");
         }
         return new JsonObject(value == null ? Map.of() : (Map<?, ?>) value, path + key + ".");
     }
--- a/daemon/src/main/java/cedarrudder/protocol/LoadReportFields.java
+++ b/daemon/src/main/java/cedarrudder/protocol/LoadReportFields.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.IntToDoubleFunction;
 
-/** Which value of a load report stands where. */
+/** The index of each value in a load report; -1 for a value that is not reported. */
 public record LoadReportFields(
         int inFlight, int queue, int utilisation, int latency, int rate, int errors) {
 
@@ -18,7 +18,7 @@
                 names.indexOf("eps"));
     }
 
-    /** The report of these values, by field. */
+    /** Returns the load report with these values, which the function returns by index. */
     public LoadReport load(IntToDoubleFunction value) {
         return new LoadReport(
                 of(inFlight, value),
@@ -29,7 +29,7 @@
                 of(errors, value));
     }
 
-    private static double of(int place, IntToDoubleFunction value) {
-        return place < 0 ? Double.NaN : value.applyAsDouble(place);
+    private static double of(int index, IntToDoubleFunction value) {
+        return index < 0 ? Double.NaN : value.applyAsDouble(index);
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/LoadReportParser.java
+++ b/daemon/src/main/java/cedarrudder/protocol/LoadReportParser.java
@@ -5,16 +5,17 @@
 import java.util.Map;
 import java.util.StringTokenizer;
 
-/** Load reports as endpoints write them: {@code TEXT inflight=7, queue=2, util=0.61}. */
+/** Parser for load reports as endpoints write them: {@code TEXT inflight=7, queue=2, util=0.61}. */
 public final class LoadReportParser {
 
-    /** No endpoint has more of anything. */
-    private static final double MAX = 1e6;
+    /** Limit on any reported figure; no endpoint has more of anything. */
+    private static final double MAX_FIGURE = 1e6;
 
     private LoadReportParser() {}
 
     /**
-     * Reads a report; null where there is none. Figures that can't be read count as not reported.
+     * Parses a report; returns null for a null text or one without a readable figure. A figure that
+     * can't be read counts as not reported.
      */
     public static LoadReport parse(String text) {
         if (text == null) {
@@ -24,17 +25,16 @@
         StringTokenizer parts = new StringTokenizer(text, ", \t\r\n");
         while (parts.hasMoreTokens()) {
             String part = parts.nextToken();
-            int equals = part.indexOf('='); // the word TEXT before the figures has none
+            int equals = part.indexOf('='); // the word TEXT before the figures contains none
             if (equals > 0) {
                 try {
                     double figure = Double.parseDouble(part.substring(equals + 1));
-                    // This avoids nonsense that is a number: it would outweigh all other endpoints'
-                    // reports.
-                    if (figure >= 0 && figure <= MAX) {
+                    // An absurd figure would outweigh the reports of all other endpoints.
+                    if (figure >= 0 && figure <= MAX_FIGURE) {
                         figures.put(part.substring(0, equals), figure);
                     }
                 } catch (NumberFormatException e) {
-                    // a figure that can't be read is one that was not reported
+                    // a figure that can't be read counts as not reported
                 }
             }
         }
--- a/daemon/src/main/java/cedarrudder/protocol/MalformedMessageException.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package cedarrudder.protocol;
 
 /**
- * Bytes that are no message of the protocol. Server-side, {@code status} is the answer they
- * deserve.
+ * Thrown for bytes that are not a valid message. On the server side, {@code status} is the status
+ * of the response.
  */
 public final class MalformedMessageException extends Exception {
 
@@ -18,9 +18,9 @@
 
     private final int status;
 
-    /** A message that is answered with this status and text. */
+    /** Creates an exception for a message that is rejected with this status and text. */
     public MalformedMessageException(int status, String message) {
-        // Without a stack trace: a peer that sends nonsense without end must not cost much.
+        // No stack trace: a peer that keeps sending invalid messages must not cost much.
         super(message, null, false, false);
         this.status = status;
     }
--- a/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
@@ -10,33 +10,36 @@
 
     private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
 
-    /** Whether each character may stand in a token (RFC 9110 5.6.2). */
-    private static final boolean[] TOKEN = new boolean[256];
+    /** Whether each character may occur in a token (RFC 9110 5.6.2), by its code. */
+    private static final boolean[] TOKEN_CHARACTERS = new boolean[256];
 
     static {
         for (char c = 0; c < 128; c++) {
             if (Character.isLetterOrDigit(c) || TOKEN_MARKS.indexOf(c) >= 0) {
-                TOKEN[c] = true;
+                TOKEN_CHARACTERS[c] = true;
             }
         }
     }
 
     /**
-     * What {@code Host} may hold beside letters and digits: RFC 3986 3.2.2, without a user's name.
+     * Characters other than letters and digits that {@code Host} may contain: RFC 3986 3.2.2,
+     * without user information.
      */
     private static final String HOST_MARKS = "-._~%!$&'()*+,;=";
 
     private static final String SCHEME = "http://";
 
     /**
-     * Fields of one head, at most (RFC 6585 5; servers that bound them allow some 100). Guards
-     * against a head that takes forty times its bytes: each field is some objects, and a head has
-     * room for 4,000.
+     * Limit on the fields of one head (RFC 6585 5; servers that limit them allow some 100). Without
+     * a limit a head could take forty times its size in memory: each field is several objects, and
+     * a head may contain 4,000 fields.
      */
     private static final int MAX_FIELDS = 128;
 
-    /** What first lines mostly hold: made once, and not for each message. */
-    private static final String[] USUAL = {"HTTP/1.1", "GET", "POST", "200", "OK", "503"};
+    /**
+     * Common parts of first lines; these strings are shared instead of created for each message.
+     */
+    private static final String[] COMMON_TEXTS = {"HTTP/1.1", "GET", "POST", "200", "OK", "503"};
 
     private final String first;
     private final String second;
@@ -44,7 +47,7 @@
     private final int status;
     private final HeaderFields fields = new HeaderFields();
 
-    /** The host that an absolute target names; null where the target is none. */
+    /** The host of an absolute target; null where the target is not absolute. */
     private final String authority;
 
     private MessageHead(String first, String second, String third, int status, String authority) {
@@ -55,7 +58,7 @@
         this.authority = authority;
     }
 
-    /** Begins a head with its first line, which is given without its end. */
+    /** Parses a first line, without its line end, and returns a head that has no fields yet. */
     static MessageHead begin(byte[] bytes, int from, int to, boolean request)
             throws MalformedMessageException {
         int second = indexOf(bytes, ' ', from, to) + 1;
@@ -63,9 +66,9 @@
         if (request ? third == 0 || indexOf(bytes, ' ', third, to) >= 0 : second == 0) {
             throw MalformedMessageException.badRequest("not HTTP");
         }
-        String one = usualText(bytes, from, second - 1);
-        String two = usualText(bytes, second, third == 0 ? to : third - 1);
-        String three = third == 0 ? "" : usualText(bytes, third, to);
+        String one = commonText(bytes, from, second - 1);
+        String two = commonText(bytes, second, third == 0 ? to : third - 1);
+        String three = third == 0 ? "" : commonText(bytes, third, to);
         checkVersion(request ? three : one, request);
         if (!request) {
             if (!isStatus(two)) {
@@ -80,8 +83,8 @@
     }
 
     /**
-     * Takes the forms of a target that a server must take (RFC 9112 3.2), and makes one of them, so
-     * that endpoints get a path however the client wrote it.
+     * Normalizes the target: accepts the forms that a server must accept (RFC 9112 3.2), and
+     * converts an absolute target to a path, so that endpoints always receive a path.
      */
     private static MessageHead ofRequest(String method, String target, String version)
             throws MalformedMessageException {
@@ -105,8 +108,8 @@
     }
 
     /**
-     * RFC 9110 2.5: a higher minor version is served as the highest we know, another major one is
-     * not.
+     * Checks the version by RFC 9110 2.5: a higher minor version is treated as the highest
+     * supported one; another major version is rejected.
      */
     private static void checkVersion(String version, boolean request)
             throws MalformedMessageException {
@@ -128,7 +131,7 @@
         }
     }
 
-    /** Adds a field line, which is given without its end. */
+    /** Parses a field line, without its line end, and adds the field. */
     void addField(byte[] bytes, int from, int to) throws MalformedMessageException {
         if (fields.all().size() == MAX_FIELDS) {
             throw new MalformedMessageException(
@@ -139,15 +142,16 @@
     }
 
     /**
-     * Checks a request's {@code Host} by RFC 9112 3.2, once its fields are all there. An absolute
-     * target replaces it, and a request of HTTP/1.0 without one gets an empty one, as it goes on as
-     * HTTP/1.1.
+     * Checks a request's {@code Host} by RFC 9112 3.2, once all fields have been added. The host of
+     * an absolute target replaces the field, and a request of HTTP/1.0 without the field gets an
+     * empty one, since the request is forwarded as HTTP/1.1.
      *
-     * <p>This avoids two parties that tell requests apart by host and take different fields for it.
+     * <p>Otherwise two parties that distinguish requests by host could read the host from different
+     * places.
      */
     void checkHost() throws MalformedMessageException {
         String host = fields.single("host");
-        if (host == null && !isOld()) {
+        if (host == null && !isHttp10()) {
             throw MalformedMessageException.badRequest("no Host");
         }
         if (host != null && !isHost(host)) {
@@ -171,18 +175,18 @@
         return -1;
     }
 
-    private static String usualText(byte[] bytes, int from, int to) {
-        for (String usual : USUAL) {
-            if (usual.length() == to - from
-                    && usual.charAt(0) == bytes[from]
-                    && holds(bytes, from, usual)) {
-                return usual;
+    private static String commonText(byte[] bytes, int from, int to) {
+        for (String common : COMMON_TEXTS) {
+            if (common.length() == to - from
+                    && common.charAt(0) == bytes[from]
+                    && matches(bytes, from, common)) {
+                return common;
             }
         }
         return text(bytes, from, to);
     }
 
-    private static boolean holds(byte[] bytes, int from, String text) {
+    private static boolean matches(byte[] bytes, int from, String text) {
         for (int i = 0; i < text.length(); i++) {
             if (bytes[from + i] != text.charAt(i)) {
                 return false;
@@ -191,7 +195,7 @@
         return true;
     }
 
-    /** Reads a field line, which is given without its end. */
+    /** Parses a field line, without its line end. */
     static HeaderFields.Field field(byte[] bytes, int from, int to)
             throws MalformedMessageException {
         int colon = indexOf(bytes, ':', from, to);
@@ -217,16 +221,16 @@
 
     private static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
-            if (!TOKEN[text.charAt(i) & 0xff]) {
+            if (!TOKEN_CHARACTERS[text.charAt(i) & 0xff]) {
                 return false;
             }
         }
         return !text.isEmpty();
     }
 
-    /** Whether this byte may stand in a method, or in a field's name. */
+    /** Returns whether this byte may occur in a token, such as a method or a field name. */
     static boolean inToken(byte character) {
-        return TOKEN[character & 0xff];
+        return TOKEN_CHARACTERS[character & 0xff];
     }
 
     private static boolean isDigit(char character) {
@@ -234,7 +238,8 @@
     }
 
     /**
-     * Whether this is a host, which may be empty or an address in brackets, with or without a port.
+     * Returns whether a text is a host, which may be empty or an address in brackets, with or
+     * without a port.
      */
     private static boolean isHost(String text) {
         int close = text.startsWith("[") ? text.indexOf(']') : -1;
@@ -282,7 +287,7 @@
         return text.length() == 3 && isNumber(text);
     }
 
-    /** Whether this is digits and nothing else, and at least one. */
+    /** Returns whether a text consists of at least one digit and nothing else. */
     static boolean isNumber(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (!isDigit(text.charAt(i))) {
@@ -300,7 +305,7 @@
         return second;
     }
 
-    /** The status of an answer; 0 where it is a request. */
+    /** Returns the status of a response; 0 for a request. */
     public int status() {
         return status;
     }
@@ -309,20 +314,20 @@
         return fields;
     }
 
-    /** Whether it is a message of HTTP/1.0. */
-    boolean isOld() {
+    /** Returns whether the message has version HTTP/1.0. */
+    boolean isHttp10() {
         return first.equals("HTTP/1.0") || third.equals("HTTP/1.0");
     }
 
-    /** Whether the sender takes bodies in chunks. */
+    /** Returns whether the sender accepts chunked bodies. */
     public boolean takesChunks() {
-        return !isOld();
+        return !isHttp10();
     }
 
-    /** Whether the sender keeps the connection open after this message. */
+    /** Returns whether the sender keeps the connection open after this message. */
     public boolean keepsAlive() {
-        return !isOld()
-                ? !fields.lists("connection", "close")
-                : fields.lists("connection", "keep-alive");
+        return !isHttp10()
+                ? !fields.containsToken("connection", "close")
+                : fields.containsToken("connection", "keep-alive");
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
@@ -13,18 +13,18 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The figures as one JSON object, under the names that operators know. */
+/** Writes the metrics as one JSON object, under the names that operators use. */
 public final class MetricsPage {
 
     /**
-     * What the process takes beside what it may.
+     * The memory use of the process, with its limits.
      *
-     * @param list what came of the last list
-     * @param all what is held now, and what the same list once more takes at the peak
+     * @param list the outcome of the last list
+     * @param all what is loaded now, and what reading the same list again takes at the peak
      * @param node what one more endpoint takes
-     * @param resident bytes of the machine's memory
-     * @param nearest the bound that is nearest
-     * @param capacity the largest route table and list there is room for
+     * @param resident resident memory in bytes
+     * @param nearest the limit that is nearest
+     * @param capacity the largest route table and list that fit
      */
     public record Estimate(
             EndpointListReader.Judged list,
@@ -40,10 +40,10 @@
      * Writes the page.
      *
      * @param classes the names of the classes, by the index under which they are counted
-     * @param listed how many endpoints discovery lists
-     * @param avoided how many of those get nothing new now
-     * @param held bytes of bodies that the process holds
-     * @param estimate null: no list was judged
+     * @param listed number of endpoints that discovery lists
+     * @param avoided number of these endpoints that receive no new requests now
+     * @param held bytes of bodies that the process buffers
+     * @param estimate null before a list was judged
      */
     public static byte[] write(
             RequestMetrics figures,
@@ -78,7 +78,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("memory took no bytes", e);
+            throw new UncheckedIOException("cannot write to the in-memory buffer", e);
         }
         return page.toByteArray();
     }
--- a/daemon/src/main/java/cedarrudder/protocol/ObjectStream.java
+++ b/daemon/src/main/java/cedarrudder/protocol/ObjectStream.java
@@ -6,50 +6,50 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts a stream of bytes into the JSON objects that it holds. They may come one a line, or indented
- * over several; what they hold is not looked at. What is no object is passed on up to the end of
- * its line, for the reader to say so.
+ * Splits a stream of bytes into JSON objects, either one per line or indented over several lines.
+ * The content of an object is not checked. Bytes that are not an object are passed to the listener
+ * up to the end of their line, so that the reader rejects them.
  */
 public final class ObjectStream extends OutputStream {
 
-    /** Receives what comes. */
+    /** Receives the content of a stream. */
     public interface Events {
 
-        /** The first byte of an object came. */
+        /** Called at the first byte of an object. */
         void begun();
 
-        /** A line ended outside of an object. */
+        /** Called at a line end outside an object. */
         void line();
 
-        /** An object, whole. */
+        /** Called with the text of a complete object. */
         void object(String text);
     }
 
     private final int max;
     private final Events events;
-    private final ByteArrayOutputStream object = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
 
     /**
-     * @param max the largest object that is read, in bytes; a larger one is an IOException
+     * @param max limit on an object in bytes; a larger object causes an IOException
      */
     public ObjectStream(int max, Events events) {
         this.max = max;
         this.events = events;
     }
 
-    /** The stream ended: what is left is passed on too. */
+    /** Handles the end of the stream: passes incomplete bytes to the listener as well. */
     public void end() {
-        if (object.size() > 0) {
-            passOn();
+        if (buffer.size() > 0) {
+            emit();
         }
     }
 
     @Override
     public void write(int next) throws IOException {
-        if (object.size() == 0) {
+        if (buffer.size() == 0) {
             if (next == '\n') {
                 events.line();
                 return;
@@ -59,26 +59,28 @@
             }
             events.begun();
         }
-        if (object.size() >= max) {
+        if (buffer.size() >= max) {
             throw new IOException("too long a list");
         }
-        object.write(next);
+        buffer.write(next);
         boolean broken =
-                next == '\n' && (quoted || depth == 0); // no string holds a line feed as it is
-        count(next);
+                next == '\n'
+                        && (inString
+                                || depth == 0); // a JSON string contains no unescaped line feed
+        trackNesting(next);
         if (broken || depth == 0 && next == '}') {
-            passOn();
+            emit();
         }
     }
 
-    private void count(int next) {
+    private void trackNesting(int next) {
         if (escaped) {
             escaped = false;
-        } else if (quoted) {
+        } else if (inString) {
             escaped = next == '\\';
-            quoted = next != '"';
+            inString = next != '"';
         } else if (next == '"') {
-            quoted = depth > 0;
+            inString = depth > 0;
         } else if (next == '{' || next == '[') {
             depth++;
         } else if (next == '}' || next == ']') {
@@ -86,11 +88,11 @@
         }
     }
 
-    private void passOn() {
-        String text = object.toString(StandardCharsets.UTF_8);
-        object.reset();
+    private void emit() {
+        String text = buffer.toString(StandardCharsets.UTF_8);
+        buffer.reset();
         depth = 0;
-        quoted = false;
+        inString = false;
         escaped = false;
         events.object(text);
     }
--- a/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -7,31 +7,34 @@
 import cedarrudder.budget.PropagatedBudget;
 import java.util.List;
 
-/** The header fields that make a request a request, and what the balancer learns of it. */
+/** Reads the request's required header fields, and from them what the balancer needs to know. */
 public final class RequestHeaders {
 
     /**
-     * Larger figures are nonsense, and would overflow as nanoseconds: a day in milliseconds, where
-     * clients of any site wait for some hundred ms to many seconds.
+     * Limit on times in milliseconds and on costs: a day in milliseconds, where clients of any site
+     * wait for some hundred ms to many seconds. Larger figures are invalid and would overflow as
+     * nanoseconds.
      */
-    private static final long MAX = 86_400_000L;
+    private static final long MAX_FIGURE = 86_400_000L;
 
     private static final int MAX_DIGITS = 18;
 
     /**
-     * The answer is ready this much earlier than the client gives up, or a tenth of its wait
-     * earlier. This avoids a loop that runs late: as clients come to proxies that have just
-     * started, all on one core, loops were seen up to 95 ms late, and a request was lost whose
-     * bytes had waited that long to be read. The tenth makes it hold for any deadline: one of 50 ms
+     * Maximum margin, in nanoseconds, between the response and the client's deadline; the margin is
+     * a tenth of the client's wait where that is less.
+     *
+     * <p>The margin covers an event loop that runs late: when clients connect to proxies that have
+     * just started, all on one core, loops ran up to 95 ms late, and a request was lost whose bytes
+     * had waited that long to be read. The tenth makes the rule hold for any deadline: one of 50 ms
      * loses 5.
      */
-    private static final long MARGIN = 40_000_000L;
+    private static final long MAX_MARGIN_NANOS = 40_000_000L;
 
-    private static final String DEADLINE = "req-deadline-ms";
+    private static final String DEADLINE_KEY = "req-deadline-ms";
 
-    private final List<BalancerSettings.RequestClass> kinds;
-    private final List<String> classes;
-    private final List<String> tenants;
+    private final List<BalancerSettings.RequestClass> requestClasses;
+    private final List<String> classNames;
+    private final List<String> tenantNames;
     private final Budgets budgets;
 
     public RequestHeaders(BalancerSettings site) {
@@ -39,43 +42,44 @@
     }
 
     /**
-     * @param budgets what a client says of them is read, and it need not say how long it waits;
-     *     null: none
+     * @param budgets the budgets, with which a client may send budget fields and omit its deadline;
+     *     null where there are none
      */
     public RequestHeaders(BalancerSettings site, Budgets budgets) {
         this.budgets = budgets;
-        kinds = site.classes();
-        classes = site.classes().stream().map(BalancerSettings.RequestClass::name).toList();
-        tenants = site.tenants().stream().map(BalancerSettings.Tenant::name).toList();
+        requestClasses = site.classes();
+        classNames = site.classes().stream().map(BalancerSettings.RequestClass::name).toList();
+        tenantNames = site.tenants().stream().map(BalancerSettings.Tenant::name).toList();
     }
 
-    /** Whether there are budgets. */
+    /** Returns whether there are budgets. */
     public boolean budgeted() {
         return budgets != null;
     }
 
     /**
-     * What the client says of budgets; {@link PropagatedBudget#NOTHING} where there are none here.
+     * Returns the budget that the client sent; {@link PropagatedBudget#NOTHING} where this proxy
+     * has no budgets.
      */
     public PropagatedBudget carried(HttpMessage request) {
         return budgets == null
                 ? PropagatedBudget.NOTHING
                 : BudgetHeaders.read(request)
-                        .withClientDeadline(request.head().fields().get(DEADLINE) != null);
+                        .withClientDeadline(request.head().fields().get(DEADLINE_KEY) != null);
     }
 
     /**
-     * Reads what the balancer learns of a request that was read at {@code now}, by a loop that has
-     * lately been late by this much.
+     * Returns the balancer's view of a request that was read at {@code now}, by an event loop whose
+     * recent delay is {@code lateness}, in nanoseconds.
      *
-     * <p>The client counts its wait from its send and until our answer's last byte has reached it.
-     * This avoids answering just too late: the way here and back, and this process's own delays,
-     * come off. On an overloaded day the first tier's loop was 40 to 70 ms late in its first
-     * second, which no fixed margin that leaves quick requests their time would cover twice, once
-     * for reading and once for answering.
+     * <p>The client's wait lasts from its send until the last byte of the response has arrived, so
+     * the network time and this process's own delays are subtracted; otherwise the response would
+     * arrive just too late. On an overloaded day the first tier's loop was 40 to 70 ms late in its
+     * first second. No fixed margin that leaves enough time to quick requests would cover this
+     * twice, once for reading and once for responding.
      *
-     * @param latest the answer is ready by then in any case
-     * @param carried what the client says of budgets
+     * @param latest latest instant of the deadline, whatever the client asks for
+     * @param carried the budget that the client sent
      */
     public LoadBalancer.Request read(
             HttpMessage request,
@@ -87,25 +91,26 @@
             throws MalformedMessageException {
         HeaderFields fields = request.head().fields();
         require(fields, "req-id");
-        int kind = classes.indexOf(require(fields, "req-kind"));
-        if (kind < 0) {
+        int classIndex = classNames.indexOf(require(fields, "req-kind"));
+        if (classIndex < 0) {
             throw MalformedMessageException.badRequest("unknown Req-Kind");
         }
-        checkFit(request, kinds.get(kind).idempotency());
+        checkMatchesClass(request, requestClasses.get(classIndex).idempotency());
         int tenant = 0;
-        if (!tenants.isEmpty()) {
-            tenant = tenants.indexOf(require(fields, "req-owner"));
+        if (!tenantNames.isEmpty()) {
+            tenant = tenantNames.indexOf(require(fields, "req-owner"));
             if (tenant < 0) {
                 throw MalformedMessageException.badRequest("unknown Req-Owner");
             }
         }
         long wait =
                 carried.hasClientDeadline()
-                        ? 1_000_000 * wait(require(fields, DEADLINE))
-                        : budgets.defaultDeadline(kind);
-        long deadline = now + wait - Math.min(MARGIN, wait / 10) - Math.min(lateness, wait / 5);
+                        ? 1_000_000 * parseWaitMillis(require(fields, DEADLINE_KEY))
+                        : budgets.defaultDeadline(classIndex);
+        long deadline =
+                now + wait - Math.min(MAX_MARGIN_NANOS, wait / 10) - Math.min(lateness, wait / 5);
         if (carried.remainingNanos() > 0) {
-            // Less the way already: only what this loop's lateness took comes off.
+            // The network time is already subtracted here, so only this loop's lateness is.
             deadline =
                     Math.min(
                             deadline,
@@ -114,10 +119,10 @@
                                     - Math.min(lateness, carried.remainingNanos() / 5));
         }
         String cost = fields.single("req-cost");
-        long work = cost == null ? 0 : 1000 * cost(cost);
+        long work = cost == null ? 0 : 1000 * parseCost(cost);
         return new LoadBalancer.Request(
                 id,
-                kind,
+                classIndex,
                 tenant,
                 Math.min(deadline, latest),
                 0,
@@ -126,24 +131,25 @@
                 work);
     }
 
-    /** The longest that any class of clients waits, in nanoseconds. */
+    /** Returns the longest deadline of any request class, in nanoseconds. */
     public long longestWait() {
-        return kinds.stream()
+        return requestClasses.stream()
                 .mapToLong(BalancerSettings.RequestClass::deadlineNanos)
                 .max()
                 .orElse(0);
     }
 
     /**
-     * The class fixes the method. This avoids passing on what endpoints have to reject, or what
-     * would be repeated by its class though its key or method says otherwise.
+     * Checks that method, key and body match the request class. Otherwise the proxy would forward
+     * requests that endpoints have to reject, or retry by its class a request whose key or method
+     * forbids that.
      */
-    private static void checkFit(HttpMessage request, Idempotency effect)
+    private static void checkMatchesClass(HttpMessage request, Idempotency idempotency)
             throws MalformedMessageException {
         String method = request.head().method();
         String key = request.head().fields().single("idempotency-key");
         boolean fits =
-                switch (effect) {
+                switch (idempotency) {
                     case SAFE -> method.equals("GET") && key == null && request.body().length == 0;
                     case KEYED -> method.equals("POST") && key != null && !key.isEmpty();
                     case UNSAFE -> method.equals("POST") && key == null;
@@ -153,10 +159,10 @@
         }
     }
 
-    private static long wait(String value) throws MalformedMessageException {
+    private static long parseWaitMillis(String value) throws MalformedMessageException {
         boolean isNumber = value.length() <= MAX_DIGITS && MessageHead.isNumber(value);
         long millis = isNumber ? Long.parseLong(value) : 0;
-        if (millis == 0 || millis > MAX) {
+        if (millis == 0 || millis > MAX_FIGURE) {
             throw MalformedMessageException.badRequest("bad req-deadline-ms");
         }
         return millis;
@@ -171,15 +177,15 @@
         return value;
     }
 
-    private static long cost(String value) throws MalformedMessageException {
+    private static long parseCost(String value) throws MalformedMessageException {
         int point = value.indexOf('.');
         try {
             long number = Long.parseLong(point < 0 ? value : value.substring(0, point));
             if (number >= 0) {
-                return Math.min(MAX, number);
+                return Math.min(MAX_FIGURE, number);
             }
         } catch (NumberFormatException e) {
-            // falls through to the same answer as a number that makes no sense
+            // rejected below, like a number out of range
         }
         throw MalformedMessageException.badRequest("bad req-cost");
     }
--- a/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SettingsReader.java
@@ -42,7 +42,9 @@
                     "none",
                     SiteSettings.Reports.NONE);
 
-    /** Limit on counts of machines, zones and attempts, so that no cast to int truncates a value. */
+    /**
+     * Limit on counts of machines, zones and attempts, so that no cast to int truncates a value.
+     */
     private static final int MAX_COUNTED = 1_000_000;
 
     /** Limit on times: a week in nanoseconds, so that sums of times don't overflow. */
--- a/daemon/src/main/java/cedarrudder/protocol/SiteSettings.java
+++ b/daemon/src/main/java/cedarrudder/protocol/SiteSettings.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * All that the settings say: what the balancer needs, and what only its host needs.
+ * The settings of a site: those of the balancer, and those of the process around the balancer.
  *
- * @param fields which value of a load report stands where, on the simulator's wire
- * @param reports where load reports come from
- * @param tiers the names of the tiers, the first first
- * @param zones the names of the zones, in the order in which the balancer numbers them
- * @param kinds the names of the machine kinds, likewise
+ * @param fields the index of each value in a load report, on the simulator's wire
+ * @param reports the source of load reports
+ * @param tiers the names of the tiers, starting with the first tier
+ * @param zones the names of the zones, by the balancer's zone number
+ * @param kinds the names of the machine kinds, by the balancer's number
  */
 public record SiteSettings(
         BalancerSettings module,
@@ -20,7 +20,7 @@
         List<String> zones,
         List<String> kinds) {
 
-    /** Where load reports come from: nowhere, only from probes, or from all answers. */
+    /** The source of load reports: none, only probes, or all responses. */
     public enum Reports {
         NONE,
         PROBES,
--- a/daemon/src/test/java/cedarrudder/protocol/FieldNameTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FieldNameTest.java
@@ -49,7 +49,7 @@
             assertEquals(name.text(), spelt.toString());
             assertEquals(name.key(), key);
             assertEquals(
-                    name.passedOn(),
+                    name.isForwardable(),
                     !List.of("connection", "content-length", "transfer-encoding").contains(key),
                     key);
             assertEquals(name.isEndToEnd(), key.equals("host") || key.startsWith("req-"), key);
