--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -219,8 +219,8 @@
     }
 
     /**
-     * Returns the sizes after {@code added} of the list's new endpoints have been added and the
-     * endpoints that the list ends have been removed.
+     * Returns the sizes once {@code added} new endpoints of a list have been added and the
+     * endpoints that the list removes are gone.
      */
     private EndpointListShape after(
             EndpointListShape held, EndpointListShape list, ListSizes sizes, int added) {
@@ -241,7 +241,10 @@
         return entry.isText("id") && reader.knows(entry.text("id", null));
     }
 
-    /** Returns whether an entry's endpoint is terminated; if unknown, it need not be added. */
+    /**
+     * Returns whether an entry's endpoint is terminated. Such an entry need not be added if the
+     * endpoint is unknown.
+     */
     private static boolean isGone(JsonObject entry) {
         return entry != null && entry.isText("state") && isTerminated(entry.text("state", null));
     }
--- a/daemon/src/test/java/cedarrudder/protocol/EndpointListParserTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/EndpointListParserTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What is kept from one endpoint list to the next. */
+/** The state that is cached from one endpoint list to the next. */
 public class EndpointListParserTest {
 
     private static JsonObject result(boolean full, String id, String state) {
@@ -48,30 +48,29 @@
     }
 
     /**
-     * Detects cold endpoints taken for warm ones, which are then pushed over, once the machine's
-     * clock was set or has drifted since the proxy began; and against a restart seen where there
-     * was none.
+     * A cold endpoint must not look warm, and then be overloaded, once the machine's clock was set
+     * or has drifted since the proxy started; nor may an unchanged start time look like a restart.
      */
     @Test
-    public void aStartIsPlacedByTheClocksOfTheMomentAndStaysThere() throws Exception {
+    public void startInstantIsComputedOnceFromTheCurrentClocks() throws Exception {
         EndpointListParser reader = reader();
         long first = startedAt(reader, "a", unixMillis - 2000);
         assertEquals(first, clock - 2_000_000_000L);
         clock += 50_000_000_000L;
-        unixMillis += 50_000 - 3_600_000; // an hour back
+        unixMillis += 50_000 - 3_600_000; // an hour backward
         assertEquals(startedAt(reader, "a", 1_000_000L - 2000), first, "no restart");
         assertEquals(
                 startedAt(reader, "b", unixMillis - 1000), clock - 1_000_000_000L, "a second old");
-        unixMillis += 7_200_000; // and two forward
+        unixMillis += 7_200_000; // and two hours forward
         assertEquals(
                 startedAt(reader, "c", unixMillis - 1000), clock - 1_000_000_000L, "a second old");
-        assertEquals(startedAt(reader, "d", unixMillis + 5000), clock, "no start is still to come");
+        assertEquals(startedAt(reader, "d", unixMillis + 5000), clock, "no start in the future");
         assertEquals(startedAt(reader, "e", 0), 0, "long ago");
     }
 
-    /** Detects keeping every id of a long day. */
+    /** The ids of a long day must not accumulate. */
     @Test
-    public void aNodeThatIsGoneLeavesNothingBehind() throws Exception {
+    public void removedEndpointIsForgotten() throws Exception {
         EndpointListParser reader = reader();
         for (int i = 0; i < 100; i++) {
             reader.read(result(false, "node-" + i, "in_service"));
@@ -83,11 +82,9 @@
         assertEquals(reader.size(), 1);
     }
 
-    /**
-     * Detects one entry that can't be read keeping drains of all other endpoints from being heard.
-     */
+    /** One entry that can't be read must not block the drains of all other endpoints. */
     @Test
-    public void anEntryThatCanNotBeReadTakesNoOtherAway() throws Exception {
+    public void unreadableEntryDoesNotBlockOthers() throws Exception {
         EndpointListParser reader = reader();
         reader.read(result(false, "a", "in_service"));
         String servers =
@@ -107,12 +104,15 @@
         assertEquals(reader.size(), 1);
         assertThrows(
                 IllegalArgumentException.class, () -> reader.read(result(true, "b", "unheard_of")));
-        assertEquals(reader.size(), 1, "a whole list of which nothing can be read changes nothing");
+        assertEquals(reader.size(), 1, "a full list without a readable entry changes nothing");
     }
 
-    /** Detects an entry whose id is no text, or that is no object at all, doing so. */
+    /**
+     * An entry whose id is not a string, or that is not an object at all, must not block the others
+     * either.
+     */
     @Test
-    public void anEntryWhoseIdIsNoTextTakesNoOtherAway() throws Exception {
+    public void entryWithoutTextIdDoesNotBlockOthers() throws Exception {
         String bad =
                 "{\"id\":[1],\"addr\":\"127.0.0.1:1\",\"state\":\"in_service\"},{\"id\":{}},7,null,";
         String good = "{\"id\":\"b\",\"addr\":\"127.0.0.1:1\",\"state\":\"terminating\"}";
--- a/daemon/src/test/java/cedarrudder/protocol/EndpointListReaderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/EndpointListReaderTest.java
@@ -18,13 +18,13 @@
 
 public class EndpointListReaderTest {
 
-    /** Room for some hundreds of endpoints. */
-    private static final long ROOM = 2_000_000;
+    /** Capacity for some hundreds of endpoints, in bytes. */
+    private static final long CAPACITY = 2_000_000;
 
     private EndpointListParser reader;
 
     @BeforeMethod
-    public void begin() throws Exception {
+    public void createParser() throws Exception {
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
         reader =
                 new EndpointListParser(
@@ -33,9 +33,12 @@
                         () -> 1_790_000_000_000L);
     }
 
-    private EndpointListReader gate(long room, int fromNodes) {
+    private EndpointListReader listReader(long capacity, int fromNodes) {
         return new EndpointListReader(
-                new EndpointListFootprint(ObjectLayout.of(true, true, 8)), reader, room, fromNodes);
+                new EndpointListFootprint(ObjectLayout.of(true, true, 8)),
+                reader,
+                capacity,
+                fromNodes);
     }
 
     private static String entry(String id, String state) {
@@ -56,19 +59,22 @@
         return text.append("]}").toString();
     }
 
-    private List<Node> read(EndpointListReader gate, String text) {
-        return reader.read(gate.read(text)).nodes();
+    private List<Node> read(EndpointListReader listReader, String text) {
+        return reader.read(listReader.read(text)).nodes();
     }
 
-    /** Detects a list that is refused whole: its drains, and what it no longer names, were lost. */
+    /**
+     * A list that doesn't fit must not be rejected as a whole: its drains, and the removal of
+     * endpoints that the list omits, would be lost.
+     */
     @Test
-    public void whatLeavesCountsAndWhatIsAddedIsAddedInOrderAsFarAsItFits() {
-        EndpointListReader gate = gate(ROOM, 0);
-        read(gate, list(true, "", "a", 3));
-        assertEquals(gate.last().waits(), 0);
+    public void removalsApplyAndAdditionsAreMadeInOrderUpToTheCapacity() {
+        EndpointListReader listReader = listReader(CAPACITY, 0);
+        read(listReader, list(true, "", "a", 3));
+        assertEquals(listReader.last().waits(), 0);
         List<Node> nodes =
                 read(
-                        gate,
+                        listReader,
                         list(true, "5," + entry("x", "terminated"), "b", 5_000)
                                 .replace(
                                         "]}",
@@ -83,52 +89,55 @@
         assertEquals(nodes.get(added).name(), "a1");
         assertEquals(nodes.get(added).endpoint().status(), EndpointStatus.DRAINING);
         assertFalse(reader.knows("a0"));
-        assertEquals(gate.last().bound(), "heap_at_rest");
-        assertEquals(gate.last().waits(), 5_001 - added - 1);
-        assertEquals(gate.last().wanted(), 5_004);
+        assertEquals(listReader.last().bound(), "heap_at_rest");
+        assertEquals(listReader.last().waits(), 5_001 - added - 1);
+        assertEquals(listReader.last().wanted(), 5_004);
     }
 
-    /** Detects changes that, few at a time, come to more than there is room for. */
+    /** Changes that are small one by one must not add up to more than the capacity. */
     @Test
-    public void changesAreJudgedWithWhatIsHeld() {
-        EndpointListReader gate = gate(ROOM, 0);
+    public void changesAreJudgedTogetherWithLoadedEndpoints() {
+        EndpointListReader listReader = listReader(CAPACITY, 0);
         for (int i = 0; i < 100; i++) {
-            read(gate, list(false, "", "c" + i + "-", 50));
+            read(listReader, list(false, "", "c" + i + "-", 50));
         }
-        assertTrue(reader.size() > 100 && reader.size() < 1_000, "held " + reader.size());
-        assertEquals(gate.last().waits(), 50);
+        assertTrue(reader.size() > 100 && reader.size() < 1_000, "loaded " + reader.size());
+        assertEquals(listReader.last().waits(), 50);
         int held = reader.size();
-        read(gate, list(false, entry("c0-1", "terminated"), "d", 0));
+        read(listReader, list(false, entry("c0-1", "terminated"), "d", 0));
         assertEquals(reader.size(), held - 1);
-        assertEquals(gate.last().waits(), 0);
-        read(gate, list(true, "", "three", 1));
+        assertEquals(listReader.last().waits(), 0);
+        read(listReader, list(true, "", "three", 1));
         assertEquals(reader.idChars(), "three0".length());
     }
 
     /**
-     * Detects room that stays empty until the list is told again, once its former endpoints have
-     * left.
+     * Capacity that former endpoints free must be usable by the same list, without waiting until
+     * discovery sends the list again.
      */
     @Test
-    public void whatHasLeftMakesRoomForMoreOfTheSameList() {
-        EndpointListReader gate = gate(ROOM, 0);
-        read(gate, list(true, "", "a", 700));
+    public void removedEndpointsFreeCapacityForTheSameList() {
+        EndpointListReader listReader = listReader(CAPACITY, 0);
+        read(listReader, list(true, "", "a", 700));
         String other = list(true, "", "b", 700);
-        assertTrue(read(gate, other).size() < 700);
-        assertTrue(gate.roomier());
-        assertEquals(read(gate, other).size(), 700);
-        assertFalse(gate.roomier());
+        assertTrue(read(listReader, other).size() < 700);
+        assertTrue(listReader.roomier());
+        assertEquals(read(listReader, other).size(), 700);
+        assertFalse(listReader.roomier());
     }
 
     @Test
-    public void fewNodesAreNeverLeftOut() {
-        assertEquals(read(gate(1, 51), list(true, "", "a", 50)).size(), 50);
-        assertEquals(read(gate(1, 50), list(false, "", "b", 50)).size(), 0);
+    public void smallListsAreAlwaysLoaded() {
+        assertEquals(read(listReader(1, 51), list(true, "", "a", 50)).size(), 50);
+        assertEquals(read(listReader(1, 50), list(false, "", "b", 50)).size(), 0);
     }
 
-    /** Detects what is broken being said otherwise, or taken for a list, where the table is on. */
+    /**
+     * Scanning a text first must neither change the error of a malformed text nor accept the text
+     * as a list.
+     */
     @Test
-    public void whatIsNoListIsSaidAsWithoutIt() {
+    public void malformedTextGivesTheSameErrorAsThePlainParser() {
         for (String text :
                 new String[] {
                     "",
@@ -141,40 +150,45 @@
                     "{\"servers\":[{\"id\":[[1],{}]}]}",
                     "{\"version\":1,\"servers\":{}}"
                 }) {
-            EndpointListReader gate = gate(1, 0);
+            EndpointListReader listReader = listReader(1, 0);
             String why =
                     expectThrows(
                                     IllegalArgumentException.class,
                                     () -> reader.read(JsonObject.parse(text)))
                             .getMessage();
             assertEquals(
-                    expectThrows(IllegalArgumentException.class, () -> reader.read(gate.read(text)))
+                    expectThrows(
+                                    IllegalArgumentException.class,
+                                    () -> reader.read(listReader.read(text)))
                             .getMessage(),
                     why,
                     text);
         }
     }
 
-    /** Detects a list of the configuration that is loaded as it is. */
+    /** The list in the configuration must be limited as well, not loaded unchecked. */
     @Test
-    public void theListOfTheConfigurationIsHeldToTheSameRoom() {
-        EndpointListReader gate = gate(ROOM, 0);
+    public void configuredListIsLimitedByTheSameCapacity() {
+        EndpointListReader listReader = listReader(CAPACITY, 0);
         JsonObject list = JsonObject.parse(list(true, "5," + entry("x", "terminated"), "b", 5_000));
-        List<Node> nodes = reader.read(gate.read(list)).nodes();
+        List<Node> nodes = reader.read(listReader.read(list)).nodes();
         assertTrue(nodes.size() > 100 && nodes.size() < 1_000, "read " + nodes.size());
-        assertEquals(gate.last().waits(), 5_001 - reader.size() - 1);
-        assertEquals(gate.last().outcome(), "does_not_fit");
-        assertEquals(gate.held().textBytes(), 0, "no watch has told anything");
-        assertEquals(gate.held().nodes(), reader.size());
-        EndpointListReader wide = gate(1L << 40, 0);
+        assertEquals(listReader.last().waits(), 5_001 - reader.size() - 1);
+        assertEquals(listReader.last().outcome(), "does_not_fit");
+        assertEquals(listReader.held().textBytes(), 0, "no watch has delivered a list");
+        assertEquals(listReader.held().nodes(), reader.size());
+        EndpointListReader wide = listReader(1L << 40, 0);
         assertSame(wide.read(list), list);
     }
 
-    /** Detects an entry that can't be read being looked for at another place than its own. */
+    /**
+     * An unreadable entry must be reported by its index in the whole list, including entries left
+     * out.
+     */
     @Test
-    public void entriesThatCantBeReadAreNamedByTheirPlacesInTheWholeList() {
-        EndpointListReader gate = gate(ROOM, 0);
-        read(gate, list(true, "", "a", 2));
+    public void unreadableEntriesAreNamedByTheirIndexInTheWholeList() {
+        EndpointListReader listReader = listReader(CAPACITY, 0);
+        read(listReader, list(true, "", "a", 2));
         String last =
                 list(true, "", "b", 5_000)
                         .replace(
@@ -184,21 +198,24 @@
                                         + ","
                                         + entry("a0", "asleep")
                                         + "]}");
-        String unread = reader.read(gate.read(last)).unread().toString();
+        String unread = reader.read(listReader.read(last)).unread().toString();
         assertTrue(unread.startsWith("[servers[5001]: unknown state 'asleep'"), unread);
     }
 
-    /** Detects operators told that endpoints wait for good which the next telling adds. */
+    /**
+     * Operators must not be informed that endpoints never fit which the next delivery of the list
+     * adds.
+     */
     @Test
-    public void stepsSayWhatGetsInWhenWhatHasLeftMakesRoom() {
-        EndpointListReader gate = gate(ROOM, 0);
-        read(gate, list(true, "", "a", 700));
-        assertEquals(gate.last().outcome(), "fits");
-        read(gate, list(true, "", "b", 700));
-        EndpointListReader.Judged judged = gate.last();
+    public void stepsCountEndpointsThatFitAfterRemovals() {
+        EndpointListReader listReader = listReader(CAPACITY, 0);
+        read(listReader, list(true, "", "a", 700));
+        assertEquals(listReader.last().outcome(), "fits");
+        read(listReader, list(true, "", "b", 700));
+        EndpointListReader.Judged judged = listReader.last();
         assertEquals(judged.outcome(), "fits_in_steps");
         assertEquals(judged.steps().stream().mapToInt(Integer::intValue).sum(), 700);
         assertEquals(judged.steps().get(0), (Integer) (700 - judged.waits()));
-        assertEquals(judged.then().nodes(), reader.size(), "what was foretold is what is held");
+        assertEquals(judged.then().nodes(), reader.size(), "predicted and loaded endpoints");
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/FieldNameTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FieldNameTest.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import org.testng.annotations.Test;
 
-/** Names from the table and names made anew must mean the same. */
+/** Names from the table and newly created names must have the same properties. */
 public class FieldNameTest {
 
     private static FieldName read(String text) {
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void namesInAnySpellingKeepItAndCompareInLowerCase() {
+    public void nameKeepsItsSpellingAndComparesInLowerCase() {
         long seed = System.nanoTime();
         System.out.println("names: seed " + seed);
         RandomGenerator random = new SplittableRandom(seed);
@@ -57,14 +57,14 @@
     }
 
     @Test
-    public void usualNamesAreMadeOnceAndOthersNotKept() {
+    public void commonNamesAreSharedAndOthersAreEqual() {
         assertSame(read("Req-Id"), read("Req-Id"));
         assertSame(read("content-length"), FieldName.of("content-length"));
         assertEquals(read("X-Other"), read("X-Other"));
     }
 
     @Test
-    public void whatIsNoTokenIsNoName() {
+    public void nonTokenIsNotAName() {
         for (String text :
                 List.of("", " Host", "Host ", "Ho st", "Host\t", "caf\u00e9", "a(b", "\0")) {
             assertNull(read(text), text);
--- a/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
@@ -11,34 +11,34 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Bodies that flow, in pieces cut anywhere. */
+/** Decoding of bodies that are forwarded in pieces, with the input split anywhere. */
 public class FlowDecodingTest {
 
     private static final int WINDOW = 8;
-    private static final int MAX = 64;
+    private static final int MAX_BODY = 64;
     private static final String BODY = "0123456789abcdefghij";
     private static final String CHUNKS =
             "5\r\n01234\r\n3;x=\"y\"\r\n567\r\nC\r\n89abcdefghij\r\n0\r\nT: u\r\n\r\n";
 
-    /** What comes of messages: each body, with a bar where it began to flow. */
+    /** Returns the body of each decoded message. */
     private static List<String> decode(boolean requests, String... pieces)
             throws MalformedMessageException {
-        HttpDecoder decoder = HttpDecoder.ofFlows(requests, HttpDecoder.MAX_HEAD, MAX, WINDOW);
+        HttpDecoder decoder = HttpDecoder.ofFlows(requests, HttpDecoder.MAX_HEAD, MAX_BODY, WINDOW);
         List<String> bodies = new ArrayList<>();
-        StringBuilder flowed = new StringBuilder();
+        StringBuilder received = new StringBuilder();
         for (String piece : pieces) {
             ByteBuf in = Unpooled.copiedBuffer(piece, StandardCharsets.ISO_8859_1);
             while (in.isReadable() || decoder.large()) {
                 HttpMessage whole = decoder.decode(in);
                 if (whole != null) {
-                    bodies.add(flowed + new String(whole.body(), StandardCharsets.ISO_8859_1));
-                    flowed.setLength(0);
+                    bodies.add(received + new String(whole.body(), StandardCharsets.ISO_8859_1));
+                    received.setLength(0);
                 } else if (decoder.large()) {
-                    flowed.append(
+                    received.append(
                             new String(
                                     decoder.flow(
                                             more ->
-                                                    flowed.append(
+                                                    received.append(
                                                             new String(
                                                                     more,
                                                                     StandardCharsets.ISO_8859_1))),
@@ -61,9 +61,9 @@
         };
     }
 
-    /** Detects bytes that are lost or doubled where a window ends, and where a read does. */
+    /** No byte may be lost or duplicated at the end of a window or of a read. */
     @Test(dataProvider = "messages")
-    public void itIsTheSameHoweverItIsCut(boolean requests, String text)
+    public void splitInputYieldsTheSameBodies(boolean requests, String text)
             throws MalformedMessageException {
         String small =
                 requests
@@ -81,14 +81,14 @@
         }
     }
 
-    /** Detects a body without an end, whether it says its length or not. */
+    /** A body that exceeds the limit must be rejected, whether or not its length is declared. */
     @Test
-    public void moreThanIsAllowedIsRefused() {
+    public void bodyOverTheLimitIsRejected() {
         for (String body :
                 List.of("Content-Length: 65\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n41\r\n")) {
             try {
                 decode(true, "POST / HTTP/1.1\r\nHost: a\r\n" + body);
-                assertTrue(false, "taken: " + body);
+                assertTrue(false, "accepted: " + body);
             } catch (MalformedMessageException e) {
                 assertEquals(e.status(), MalformedMessageException.CONTENT_TOO_LARGE);
             }
--- a/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/HttpDecoderTest.java
@@ -14,10 +14,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Messages come out the same however their bytes are cut, and what is no message is told apart. */
+/**
+ * Decoding of responses: the messages don't depend on how the bytes are split, and invalid input is
+ * rejected.
+ */
 public class HttpDecoderTest {
 
-    private static final String TWO =
+    private static final String TWO_RESPONSES =
             "\r\n\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\nA: b \r\n\r\nabc"
                     + "HTTP/1.1 100 Continue\r\n\r\n"
                     + "HTTP/1.1 503 Full\nSrv-Declined: 1\nTransfer-Encoding: chunked\n\n"
@@ -48,23 +51,24 @@
     }
 
     @Test
-    public void everyCutYieldsTheSameMessages() throws MalformedMessageException {
+    public void everySplitYieldsTheSameMessages() throws MalformedMessageException {
         List<String> expected = List.of("200 b abc", "503 null defgh");
-        for (int i = 0; i <= TWO.length(); i++) {
+        for (int i = 0; i <= TWO_RESPONSES.length(); i++) {
             HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100);
             assertEquals(
-                    decode(decoder, TWO.substring(0, i), TWO.substring(i)),
+                    decode(decoder, TWO_RESPONSES.substring(0, i), TWO_RESPONSES.substring(i)),
                     expected,
                     "cut at " + i);
             assertTrue(decoder.between());
         }
         assertEquals(
-                decode(HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100), TWO.split("")), expected);
+                decode(HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100), TWO_RESPONSES.split("")),
+                expected);
     }
 
-    /** Detects a watch that stands, and is read no more, once 2 GiB have come on it. */
+    /** A watch must not stall once 2 GiB have arrived on it. */
     @Test
-    public void anAnswerThatGoesToASinkIsReadWithoutABound() throws MalformedMessageException {
+    public void streamedResponseHasNoSizeLimit() throws MalformedMessageException {
         for (boolean chunked : new boolean[] {true, false}) {
             HttpDecoder decoder = HttpDecoder.ofStreams(OutputStream.nullOutputStream());
             decoder.decode(
@@ -86,7 +90,7 @@
     }
 
     @Test
-    public void anAnswerWithoutLengthEndsWithItsConnection() throws MalformedMessageException {
+    public void responseWithoutLengthEndsWithItsConnection() throws MalformedMessageException {
         HttpDecoder decoder = HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100);
         assertNull(decoder.decode(bytes("HTTP/1.1 200 OK\r\n\r\nall of it")));
         assertEquals(new String(decoder.atEnd().body(), StandardCharsets.ISO_8859_1), "all of it");
@@ -117,7 +121,7 @@
     }
 
     @Test(dataProvider = "nonsense")
-    public void nonsenseIsTold(String text) {
+    public void malformedResponseIsRejected(String text) {
         expectThrows(
                 MalformedMessageException.class,
                 () -> decode(HttpDecoder.ofAnswers(HttpDecoder.MAX_HEAD, 100), text));
--- a/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
@@ -17,16 +17,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Our reading of spoilt requests beside that of Netty's own decoder, which knows nothing of ours.
- * Where two parties take the same bytes for different requests, one can be smuggled past the first.
+ * Compares this decoder with Netty's own, which shares no code with this one, on mutated requests.
+ * Where two parties parse the same bytes as different requests, one request can be smuggled past
+ * the first party.
  */
 public class IndependentReadingTest {
 
     private static final long SEED = 20_251;
     private static final int RUNS = 20_000;
-    private static final int MAX_SPOILT = 3;
+    private static final int MAX_MUTATIONS = 3;
 
-    private static final String[] SOUND = {
+    private static final String[] VALID_REQUESTS = {
         "GET /a HTTP/1.1\r\nHost: h\r\nA: b\r\n\r\n",
         "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\nA: b\r\n\r\nhello world",
         "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nA: b\r\n\r\n"
@@ -36,10 +37,10 @@
         "POST /e HTTP/1.0\r\nHost: h\r\nContent-Length: 3\r\nConnection: keep-alive\r\n\r\nabc",
     };
 
-    private static final String BEHIND = "GET /behind HTTP/1.1\r\nHost: h\r\n\r\n";
+    private static final String FOLLOWING_REQUEST = "GET /behind HTTP/1.1\r\nHost: h\r\n\r\n";
 
-    /** What may stand in for something else. */
-    private static final String[] ODD = {
+    /** Replacement texts for mutations. */
+    private static final String[] REPLACEMENTS = {
         "\r",
         "\n",
         "\r\n",
@@ -67,20 +68,21 @@
         "HTTP/1.1"
     };
 
-    /** A request as one of the two reads it. */
-    private record Read(String method, String target, String field, String body) {}
+    /** A request as one of the two decoders reads it. */
+    private record ParsedRequest(String method, String target, String field, String body) {}
 
-    /** Requests up to the first that is refused, or that has no end. */
-    private record Reading(List<Read> requests, boolean refused) {}
+    /** The requests up to the first that is rejected or incomplete. */
+    private record Reading(List<ParsedRequest> requests, boolean rejected) {}
 
-    private static String spoilt(SplittableRandom random) {
-        StringBuilder text = new StringBuilder(SOUND[random.nextInt(SOUND.length)]);
-        for (int i = random.nextInt(MAX_SPOILT) + 1; i > 0; i--) {
+    private static String mutatedRequests(SplittableRandom random) {
+        StringBuilder text =
+                new StringBuilder(VALID_REQUESTS[random.nextInt(VALID_REQUESTS.length)]);
+        for (int i = random.nextInt(MAX_MUTATIONS) + 1; i > 0; i--) {
             int at = random.nextInt(text.length());
-            String odd = ODD[random.nextInt(ODD.length)];
+            String replacement = REPLACEMENTS[random.nextInt(REPLACEMENTS.length)];
             switch (random.nextInt(4)) {
-                case 0 -> text.insert(at, odd);
-                case 1 -> text.replace(at, at + 1, odd);
+                case 0 -> text.insert(at, replacement);
+                case 1 -> text.replace(at, at + 1, replacement);
                 case 2 -> text.deleteCharAt(at);
                 default -> {
                     int start = text.lastIndexOf("\n", at) + 1;
@@ -90,17 +92,17 @@
                 }
             }
         }
-        return text.append(BEHIND).toString();
+        return text.append(FOLLOWING_REQUEST).toString();
     }
 
     private static Reading ours(String text) {
-        List<Read> requests = new ArrayList<>();
+        List<ParsedRequest> requests = new ArrayList<>();
         HttpDecoder decoder = HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         ByteBuf in = Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
         try {
             for (HttpMessage next = decoder.decode(in); next != null; next = decoder.decode(in)) {
                 requests.add(
-                        new Read(
+                        new ParsedRequest(
                                 next.head().method(),
                                 next.head().target(),
                                 next.head().fields().get("a"),
@@ -117,15 +119,15 @@
                 new EmbeddedChannel(
                         new HttpRequestDecoder(), new HttpObjectAggregator(HttpDecoder.MAX_BODY));
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
-        List<Read> requests = new ArrayList<>();
-        boolean refused = false;
+        List<ParsedRequest> requests = new ArrayList<>();
+        boolean rejected = false;
         for (FullHttpRequest next = channel.readInbound();
                 next != null;
                 next = channel.readInbound()) {
-            refused |= next.decoderResult().isFailure();
-            if (!refused) {
+            rejected |= next.decoderResult().isFailure();
+            if (!rejected) {
                 requests.add(
-                        new Read(
+                        new ParsedRequest(
                                 next.method().name(),
                                 next.uri(),
                                 next.headers().get("a"),
@@ -134,24 +136,25 @@
             next.release();
         }
         channel.close();
-        return new Reading(requests, refused);
+        return new Reading(requests, rejected);
     }
 
-    private static String told(String text) {
+    private static String printable(String text) {
         return text.replace("\r", "\\r").replace("\n", "\\n").replace("\0", "\\0");
     }
 
     /**
-     * Of what both take, each takes the same; and what ours takes and theirs doesn't is taken on
-     * purpose.
+     * Checks that the decoders agree on all requests that both accept. No request may be accepted,
+     * rejected or left incomplete by one decoder alone, except that Netty's may accept a request
+     * that this decoder rejects.
      */
     @Test
-    public void whatBothTakeTheyTakeAlike() {
+    public void bothDecodersReadAcceptedRequestsAlike() {
         SplittableRandom random = new SplittableRandom(SEED);
-        TreeMap<String, String> differ = new TreeMap<>();
+        TreeMap<String, String> differences = new TreeMap<>();
         int both = 0;
         for (int run = 0; run < RUNS; run++) {
-            String text = spoilt(random);
+            String text = mutatedRequests(random);
             Reading ours = ours(text);
             Reading theirs = theirs(text);
             int common = Math.min(ours.requests().size(), theirs.requests().size());
@@ -162,23 +165,24 @@
                             + ", run "
                             + run
                             + ": "
-                            + told(text)
+                            + printable(text)
                             + "\n"
                             + ours
                             + "\n"
                             + theirs;
             for (int i = 0; i < common; i++) {
                 if (!ours.requests().get(i).equals(theirs.requests().get(i))) {
-                    differ.putIfAbsent("other", where);
+                    differences.putIfAbsent("other", where);
                 }
             }
             if (ours.requests().size() > common) {
-                differ.putIfAbsent(theirs.refused() ? "ours takes" : "theirs waits", where);
-            } else if (!ours.refused() && theirs.requests().size() > common) {
-                differ.putIfAbsent("ours waits", where);
+                differences.putIfAbsent(
+                        theirs.rejected() ? "only ours accepts" : "theirs is incomplete", where);
+            } else if (!ours.rejected() && theirs.requests().size() > common) {
+                differences.putIfAbsent("ours is incomplete", where);
             }
         }
-        assertTrue(both > RUNS / 4, "both took only " + both);
-        assertEquals(differ.size(), 0, String.join("\n\n", differ.values()));
+        assertTrue(both > RUNS / 4, "requests accepted by both: " + both);
+        assertEquals(differences.size(), 0, String.join("\n\n", differences.values()));
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/LoadReportParserTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/LoadReportParserTest.java
@@ -5,14 +5,14 @@
 
 import org.testng.annotations.Test;
 
-/** Load reports, as endpoints write them and as they come spoilt. */
+/** Load reports, both valid and malformed. */
 public class LoadReportParserTest {
 
-    /** Detects one absurd figure outweighing the reports of all other endpoints. */
+    /** One absurd figure must not outweigh the reports of all other endpoints. */
     @Test
-    public void whatCantBeReadIsNoReport() {
+    public void unreadableReportIsIgnored() {
         assertEquals(LoadReportParser.parse("TEXT inflight=7, util=0.61").inFlight(), 7.0);
-        for (String spoilt :
+        for (String malformed :
                 new String[] {
                     "",
                     "TEXT",
@@ -24,7 +24,7 @@
                     "=7",
                     "\u0000\u00ff"
                 }) {
-            assertNull(LoadReportParser.parse(spoilt), spoilt);
+            assertNull(LoadReportParser.parse(malformed), malformed);
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RequestDecodingTest.java
@@ -13,7 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Requests that two parties could read in two ways, and bytes that can't become a request. */
+/**
+ * Decoding of requests that two parties could read differently, and of bytes that can't become a
+ * request.
+ */
 public class RequestDecodingTest {
 
     private static final String HOST = "Host: a\r\n";
@@ -28,12 +31,15 @@
         return HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
     }
 
-    /** A head that is a byte longer than one may be. */
-    private static String longer(String start) {
+    /** Returns a head that is one byte longer than the limit. */
+    private static String headOverTheLimit(String start) {
         return start + "x".repeat(HttpDecoder.MAX_HEAD + 1 - start.length());
     }
 
-    /** Each is refused as soon as these bytes are there, whatever may follow. */
+    /**
+     * Inputs that are rejected as soon as these bytes have arrived, whatever may follow, and the
+     * status.
+     */
     @DataProvider
     public Object[][] refused() {
         return new Object[][] {
@@ -50,8 +56,8 @@
             {"\n", 400},
             {"GET / HTTP/1.1\r\nA: b\n", 400},
             {"A".repeat(65), 501},
-            {longer("GET /"), 414},
-            {longer("GET / HTTP/1.1\r\n" + HOST + "A: "), 431},
+            {headOverTheLimit("GET /"), 414},
+            {headOverTheLimit("GET / HTTP/1.1\r\n" + HOST + "A: "), 431},
             {"PRI * HTTP/2.0\r\n", 505},
             {"GET / HTTP/0.9\r\n", 505},
             {"GET / HTTP/1.10\r\n", 400},
@@ -87,8 +93,7 @@
     }
 
     @Test(dataProvider = "refused")
-    public void whatIsNoRequestIsToldAsSoonAsThatIsCertain(String text, int status)
-            throws Exception {
+    public void invalidRequestIsRejectedAsSoonAsPossible(String text, int status) throws Exception {
         MalformedMessageException whole =
                 expectThrows(MalformedMessageException.class, () -> decoder().decode(bytes(text)));
         assertEquals(whole.status(), status);
@@ -103,7 +108,10 @@
         assertEquals(last.status(), status);
     }
 
-    /** A request's first line and Host, and the target and the Host that go on to an endpoint. */
+    /**
+     * A request's first line and Host, and the target and the Host that are forwarded to an
+     * endpoint.
+     */
     @DataProvider
     public Object[][] taken() {
         return new Object[][] {
@@ -120,15 +128,14 @@
     }
 
     @Test(dataProvider = "taken")
-    public void theFormsOfATargetComeToOne(String text, String target, String host)
-            throws Exception {
+    public void targetFormsAreNormalized(String text, String target, String host) throws Exception {
         HttpMessage request = decoder().decode(bytes(text));
         assertEquals(request.head().target(), target);
         assertEquals(request.head().fields().get("host"), host);
     }
 
     @Test
-    public void aBodyThatWaitsForA100IsToldOfOnce() throws Exception {
+    public void expectationOf100IsReportedOnce() throws Exception {
         HttpDecoder decoder = decoder();
         String text =
                 "POST / HTTP/1.1\r\n" + HOST + "Expect: 100-Continue\r\nContent-Length: 2\r\n";
@@ -145,9 +152,12 @@
         assertFalse(decoder.awaitsContinue());
     }
 
-    /** RFC 9110 7.6.1; what makes a request one can't be stripped so, its key above all. */
+    /**
+     * RFC 9110 7.6.1. {@code Connection} can't strip a request of essential fields, above all its
+     * idempotency key.
+     */
     @Test
-    public void fieldsOfTheConnectionEndHereAndThoseOfTheRpcDont() throws Exception {
+    public void hopByHopFieldsAreDroppedAndRequestFieldsForwarded() throws Exception {
         HttpMessage request =
                 decoder()
                         .decode(
@@ -160,9 +170,9 @@
                                                 + "X-B: 2\r\n"
                                                 + "Req-Id: 3\r\n"
                                                 + "Idempotency-Key: 4\r\n\r\n"));
-        ByteBuf on = HttpEncoder.request(UnpooledByteBufAllocator.DEFAULT, request, 5, null);
+        ByteBuf forwarded = HttpEncoder.request(UnpooledByteBufAllocator.DEFAULT, request, 5, null);
         assertEquals(
-                on.toString(StandardCharsets.ISO_8859_1),
+                forwarded.toString(StandardCharsets.ISO_8859_1),
                 "GET / HTTP/1.1\r\n"
                         + HOST
                         + "X-B: 2\r\n"
--- a/daemon/src/test/java/cedarrudder/protocol/RequestHeadersTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/RequestHeadersTest.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import org.testng.annotations.Test;
 
-/** What the balancer is told of a request. */
+/** The balancer's view of a request's header fields. */
 public class RequestHeadersTest {
 
     private static final long MS = 1_000_000L;
@@ -38,24 +38,26 @@
     }
 
     @Test
-    public void theFieldsAreTold() throws Exception {
+    public void headerFieldsAreRead() throws Exception {
         assertEquals(read(1000, 0), new Request(7, 1, 0, 960 * MS, 0, true, true, 1500 * 1000));
     }
 
     /**
-     * A request was lost whose bytes had waited for a late loop: its deadline counts from the
-     * client's send.
+     * The deadline counts from the client's send: a request was lost whose bytes had waited for a
+     * late event loop.
      */
     @Test
-    public void aLateLoopAnswersEarlier() throws Exception {
+    public void lateLoopShortensTheDeadline() throws Exception {
         assertEquals(read(1000, 50 * MS).deadline(), 910 * MS);
         assertEquals(read(100, 0).deadline(), 90 * MS);
         assertEquals(read(100, 500 * MS).deadline(), 70 * MS);
     }
 
-    /** After SIGTERM what is still taken must be answered before SIGKILL may come. */
+    /**
+     * After SIGTERM, requests that are still accepted must be answered before SIGKILL may follow.
+     */
     @Test
-    public void noDeadlineIsLaterThanTheLatest() throws Exception {
+    public void deadlineIsCappedAtTheLatestInstant() throws Exception {
         assertEquals(read(30_000, 0).deadline(), 5000 * MS);
     }
 }
--- a/daemon/src/test/java/cedarrudder/protocol/SettingsReaderTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/SettingsReaderTest.java
@@ -10,12 +10,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Settings of any customer's: what can't be is told with its place, what was found and what is
- * allowed.
+ * Settings of any customer: an invalid setting is reported with its place, the value found and the
+ * values allowed.
  */
 public class SettingsReaderTest {
 
-    /** A text of the example's configuration, what stands there instead, and what is said of it. */
+    /** A text in the example's configuration, its replacement, and the expected message. */
     @DataProvider
     private Object[][] wrong() {
         return new Object[][] {
@@ -90,20 +90,23 @@
     }
 
     @Test(dataProvider = "wrong")
-    public void whatCanNotBeIsToldWithItsPlaceAndWhatIsAllowed(
-            String text, String other, String said) throws IOException {
+    public void invalidSettingIsReportedWithPlaceAndAllowedValues(
+            String text, String replacement, String message) throws IOException {
         String example = example();
         assertEquals(example.contains(text), true, text);
-        JsonObject changed = JsonObject.parse(example.replace(text, other)).child("settings");
+        JsonObject changed = JsonObject.parse(example.replace(text, replacement)).child("settings");
         assertEquals(
                 expectThrows(IllegalArgumentException.class, () -> SettingsReader.read(changed))
                         .getMessage(),
-                said);
+                message);
     }
 
-    /** Detects settings that need what another customer's have: all that may be absent is. */
+    /**
+     * Optional settings must not be required because one customer's configuration has them: here
+     * all of them are absent.
+     */
     @Test
-    public void whatMayBeLeftOutMeansThatItIsNotAllowed() throws IOException {
+    public void absentOptionalSettingsDisableTheirFeatures() throws IOException {
         SiteSettings site =
                 SettingsReader.read(
                         JsonObject.parse(
--- a/daemon/src/test/java/cedarrudder/toml/ConfigTableTest.java
+++ b/daemon/src/test/java/cedarrudder/toml/ConfigTableTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What a strict reader says of files that are wrong, all in one run. */
+/** Reading of valid and invalid files; all problems of a file are reported in one run. */
 public class ConfigTableTest {
 
     private enum Shade {
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void itReadsWhatIsThereAndTheDefaultsOfWhatIsNot() throws Exception {
+    public void presentValuesAndDefaultsAreRead() throws Exception {
         ConfigDocument document =
                 ConfigDocument.parse(
                         "a.toml",
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void itFindsAllErrorsInOneRunWithTheirLines() {
+    public void allProblemsAreReportedInOneRunWithTheirLines() {
         ConfigDocument document =
                 ConfigDocument.parse(
                         "a.toml",
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void aTextThatIsNoTomlIsNamedByItsLine() {
+    public void syntaxErrorIsReportedWithItsLine() {
         ConfigDocument document = ConfigDocument.parse("a.toml", "a = 1\nb = = 2\n");
         assertEquals(document.problems().get(0).line(), 2);
         assertEquals(document.root().keys(), List.of());
@@ -93,7 +93,7 @@
     }
 
     @Test
-    public void itTellsWhatWasAskedForAndWhichKeysAreSound() {
+    public void documentListsKeysThatWereReadAndKeysWithProblems() {
         ConfigDocument document =
                 ConfigDocument.parse(
                         "a.toml",
