--- a/daemon/src/main/java/cedarrudder/protocol/BudgetHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/BudgetHeaders.java
@@ -25,7 +25,7 @@
     }
 
     /** Reads the budget feedback of a response; a field that occurs twice counts as absent. */
-    public static DownstreamFeedback result(HttpMessage answer) {
-        return BudgetFields.readResult(answer.head().fields().only(RESULT));
+    public static DownstreamFeedback result(HttpMessage response) {
+        return BudgetFields.readResult(response.head().fields().only(RESULT));
     }
 }
--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -24,7 +24,7 @@
     private static final String ENTRIES = "servers";
 
     private final EndpointListFootprint footprint;
-    private final EndpointListParser reader;
+    private final EndpointListParser listParser;
     private final long capacity;
     private final int fromNodes;
 
@@ -88,17 +88,17 @@
     }
 
     /**
-     * @param reader parses the admitted entries, and knows which endpoints are loaded
+     * @param listParser parses the admitted entries, and knows which endpoints are loaded
      * @param capacity bytes of heap for endpoints and their lists
      * @param fromNodes number of endpoints below which none is left out
      */
     public EndpointListReader(
             EndpointListFootprint footprint,
-            EndpointListParser reader,
+            EndpointListParser listParser,
             long capacity,
             int fromNodes) {
         this.footprint = footprint;
-        this.reader = reader;
+        this.listParser = listParser;
         this.capacity = capacity;
         this.fromNodes = fromNodes;
     }
@@ -110,12 +110,14 @@
 
     /** Returns the sizes of what is loaded, as far as they affect memory. */
     public EndpointListShape held() {
-        EndpointListShape like = last == null ? EndpointListShape.NONE : last.then();
+        EndpointListShape lastShape = last == null ? EndpointListShape.NONE : last.then();
         return new EndpointListShape(
-                reader.size(),
+                listParser.size(),
                 largestText,
-                reader.idChars(),
-                like.nodes() == 0 ? 0 : like.valueChars() * reader.size() / like.nodes());
+                listParser.idChars(),
+                lastShape.nodes() == 0
+                        ? 0
+                        : lastShape.valueChars() * listParser.size() / lastShape.nodes());
     }
 
     /** Returns the bytes of the capacity that remain free at rest. */
@@ -138,7 +140,7 @@
      * that list may fit now.
      */
     public boolean roomier() {
-        return last.waits() > 0 && reader.size() < last.held() + mayAdd;
+        return last.waits() > 0 && listParser.size() < last.held() + mayAdd;
     }
 
     /**
@@ -238,7 +240,7 @@
     }
 
     private boolean known(JsonObject entry) {
-        return entry.isText("id") && reader.knows(entry.text("id", null));
+        return entry.isText("id") && listParser.knows(entry.text("id", null));
     }
 
     /**
@@ -285,7 +287,7 @@
                     parser.skipChildren();
                 } else if (name.equals("id")) {
                     sizes.idChars += parser.getTextLength();
-                    adds &= !reader.knows(parser.getText());
+                    adds &= !listParser.knows(parser.getText());
                 } else if (parser.currentToken() == JsonToken.VALUE_STRING) {
                     sizes.valueChars += parser.getTextLength();
                     adds &= !name.equals("state") || !isTerminated(parser.getText());
--- a/daemon/src/main/java/cedarrudder/protocol/FieldName.java
+++ b/daemon/src/main/java/cedarrudder/protocol/FieldName.java
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Hashes the length and three bytes, which distinguish the common names well enough and cost
-     * the same for a long name.
+     * Hashes the length and three bytes, which suffice to distinguish the common names and cost the
+     * same for a long name.
      */
     private static int slot(byte[] bytes, int from, int to) {
         int length = to - from;
--- a/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpDecoder.java
@@ -452,7 +452,7 @@
             if (++interimResponses > MAX_INTERIM_RESPONSES) {
                 // An endpoint might otherwise send interim responses without ever sending the final
                 // one.
-                throw MalformedMessageException.badRequest("too many interim answers");
+                throw MalformedMessageException.badRequest("too many interim responses");
             }
             return false;
         }
@@ -524,7 +524,7 @@
                 pieceConsumer.accept(piece);
             }
         } catch (IOException e) {
-            throw MalformedMessageException.badRequest("content not taken: " + e.getMessage());
+            throw MalformedMessageException.badRequest("content rejected: " + e.getMessage());
         }
         bodyLeft -= count;
         bodyBytesRead += count;
--- a/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
+++ b/daemon/src/main/java/cedarrudder/protocol/HttpEncoder.java
@@ -27,37 +27,37 @@
      * Encodes a request for an endpoint. Its end-to-end fields are unchanged except for the
      * remaining time and, with budgets, the budget fields.
      *
-     * @param handed the budget for the endpoint; null where there are no budgets
+     * @param budget the budget for the endpoint; null where there are no budgets
      */
     public static ByteBuf request(
             ByteBufAllocator buffers,
             HttpMessage request,
             long leftMillis,
-            PropagatedBudget handed) {
+            PropagatedBudget budget) {
         StringBuilder head =
                 new StringBuilder(256)
                         .append(request.head().method())
                         .append(' ')
                         .append(request.head().target())
                         .append(" HTTP/1.1\r\n");
-        List<String> listed = request.head().fields().connectionOptions();
+        List<String> hopByHopNames = request.head().fields().connectionOptions();
         List<HeaderFields.Field> fields = request.head().fields().all();
         for (int i = 0; i < fields.size(); i++) {
             HeaderFields.Field field = fields.get(i);
-            if (isForwarded(field, listed)
+            if (isForwarded(field, hopByHopNames)
                     && !field.key().equals(DEADLINE_KEY)
-                    && (handed == null || !BudgetHeaders.KEYS.contains(field.key()))) {
+                    && (budget == null || !BudgetHeaders.KEYS.contains(field.key()))) {
                 field(head, field.name().text(), field.value());
             }
         }
         field(head, "Req-Deadline-Ms", Long.toString(leftMillis));
-        if (handed != null) {
-            field(head, BudgetFields.BUDGET, BudgetFields.budget(handed));
-            field(head, BudgetFields.PATH, BudgetFields.path(handed));
+        if (budget != null) {
+            field(head, BudgetFields.BUDGET, BudgetFields.budget(budget));
+            field(head, BudgetFields.PATH, BudgetFields.path(budget));
         }
         boolean bodiless = request.body().length == 0 && request.head().method().equals("GET");
         return request.rest() == null
-                ? encodeWhole(buffers, head, request.body(), !bodiless)
+                ? encodeComplete(buffers, head, request.body(), !bodiless)
                 : encodeStart(buffers, head, request, true);
     }
 
@@ -65,9 +65,11 @@
      * Returns whether a field is forwarded beyond this connection, whose {@code Connection} field
      * lists the given names.
      */
-    private static boolean isForwarded(HeaderFields.Field field, List<String> listed) {
+    private static boolean isForwarded(HeaderFields.Field field, List<String> hopByHopNames) {
         return field.name().isForwardable()
-                && (listed.isEmpty() || field.name().isEndToEnd() || !listed.contains(field.key()));
+                && (hopByHopNames.isEmpty()
+                        || field.name().isEndToEnd()
+                        || !hopByHopNames.contains(field.key()));
     }
 
     /**
@@ -82,7 +84,7 @@
         StringBuilder head =
                 new StringBuilder(96).append("GET ").append(target).append(" HTTP/1.1\r\n");
         field(head, "Host", host);
-        return encodeWhole(buffers, head, new byte[0], false);
+        return encodeComplete(buffers, head, new byte[0], false);
     }
 
     /**
@@ -96,25 +98,25 @@
      */
     public static ByteBuf served(
             ByteBufAllocator buffers,
-            HttpMessage answer,
+            HttpMessage response,
             boolean close,
             boolean budgets,
             DownstreamFeedback result,
             boolean chunks) {
         StringBuilder head = start(200, close);
-        List<String> listed = answer.head().fields().connectionOptions();
-        List<HeaderFields.Field> fields = answer.head().fields().all();
+        List<String> hopByHopNames = response.head().fields().connectionOptions();
+        List<HeaderFields.Field> fields = response.head().fields().all();
         for (int i = 0; i < fields.size(); i++) {
             HeaderFields.Field field = fields.get(i);
-            if (isForwarded(field, listed)
+            if (isForwarded(field, hopByHopNames)
                     && !(budgets && BudgetHeaders.KEYS.contains(field.key()))) {
                 field(head, field.name().text(), field.value());
             }
         }
         result(head, result);
-        return answer.rest() == null
-                ? encodeWhole(buffers, head, answer.body(), true)
-                : encodeStart(buffers, head, answer, chunks);
+        return response.rest() == null
+                ? encodeComplete(buffers, head, response.body(), true)
+                : encodeStart(buffers, head, response, chunks);
     }
 
     /** Encodes the head and the first bytes of a message whose remaining body follows in pieces. */
@@ -183,7 +185,7 @@
             field(head, "Retry-After", Double.toString(Math.ceil(retryAfterNanos / 1e6) / 1e3));
         }
         result(head, result);
-        return encodeWhole(buffers, head, (text + "\n").getBytes(StandardCharsets.UTF_8), true);
+        return encodeComplete(buffers, head, (text + "\n").getBytes(StandardCharsets.UTF_8), true);
     }
 
     /**
@@ -197,7 +199,7 @@
         if (allow != null) {
             field(head, "Allow", allow);
         }
-        return encodeWhole(buffers, head, body, true);
+        return encodeComplete(buffers, head, body, true);
     }
 
     /**
@@ -252,7 +254,7 @@
         head.append(name).append(": ").append(value).append("\r\n");
     }
 
-    private static ByteBuf encodeWhole(
+    private static ByteBuf encodeComplete(
             ByteBufAllocator buffers, StringBuilder head, byte[] body, boolean length) {
         if (length) {
             field(head, "Content-Length", Integer.toString(body.length));
--- a/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
+++ b/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
@@ -39,14 +39,14 @@
 
     /**
      * Parses a text that contains one object, and replaces the elements of the list {@code list}
-     * that {@code taken} rejects with {@link #LEFT_OUT} as soon as they are read. The predicate
+     * that {@code filter} rejects with {@link #LEFT_OUT} as soon as they are read. The predicate
      * receives null for an element that is not an object.
      */
-    static JsonObject parse(String text, String list, Predicate<JsonObject> taken) {
+    static JsonObject parse(String text, String list, Predicate<JsonObject> filter) {
         Object value;
         try (JsonParser parser = JSON.createParser(text)) {
             parser.nextToken();
-            value = value(parser, list, taken);
+            value = value(parser, list, filter);
             if (parser.nextToken() != null) {
                 throw new IllegalArgumentException("not JSON");
             }
@@ -63,7 +63,7 @@
      * Reads the value that begins at the parser's current token. The parser itself limits the
      * nesting depth.
      */
-    private static Object value(JsonParser parser, String list, Predicate<JsonObject> taken)
+    private static Object value(JsonParser parser, String list, Predicate<JsonObject> filter)
             throws IOException {
         JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
@@ -74,7 +74,7 @@
                 members.put(
                         name,
                         name.equals(list) && parser.currentToken() == JsonToken.START_ARRAY
-                                ? elements(parser, taken)
+                                ? elements(parser, filter)
                                 : value(parser, null, null));
             }
             return members;
@@ -95,14 +95,14 @@
         };
     }
 
-    private static List<Object> elements(JsonParser parser, Predicate<JsonObject> taken)
+    private static List<Object> elements(JsonParser parser, Predicate<JsonObject> filter)
             throws IOException {
         List<Object> elements = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             Object element = value(parser, null, null);
             boolean stays =
-                    taken == null
-                            || taken.test(
+                    filter == null
+                            || filter.test(
                                     element instanceof Map<?, ?> object
                                             ? new JsonObject(object, "")
                                             : null);
@@ -132,9 +132,9 @@
     }
 
     /** Reads an optional number. */
-    public double number(String key, double otherwise) {
+    public double number(String key, double defaultValue) {
         Number value = number(key, false);
-        return value == null ? otherwise : value.doubleValue();
+        return value == null ? defaultValue : value.doubleValue();
     }
 
     /** Reads a required integer. */
@@ -153,8 +153,8 @@
     }
 
     /** Reads an optional number within bounds. */
-    public double number(String key, double otherwise, double min, double max) {
-        return within(key, number(key, otherwise), min, max);
+    public double number(String key, double defaultValue, double min, double max) {
+        return within(key, number(key, defaultValue), min, max);
     }
 
     private double within(String key, double value, double min, double max) {
@@ -174,8 +174,8 @@
     }
 
     /** Reads one of the allowed words; required where the default is null. */
-    public String word(String key, String otherwise, List<String> allowed) {
-        String word = text(key, otherwise);
+    public String word(String key, String defaultValue, List<String> allowed) {
+        String word = text(key, defaultValue);
         if (!allowed.contains(word)) {
             throw notAllowed(key, "'" + word + "'", String.join(", ", allowed));
         }
@@ -189,21 +189,21 @@
     }
 
     /** Reads an optional boolean. */
-    public boolean flag(String key, boolean otherwise) {
+    public boolean flag(String key, boolean defaultValue) {
         Object value = get(key, false);
         if (value != null && !(value instanceof Boolean)) {
             throw wrongType(key, "true or false");
         }
-        return value == null ? otherwise : (Boolean) value;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
     /** Reads a string; required where the default is null. */
-    public String text(String key, String otherwise) {
-        Object value = get(key, otherwise == null);
+    public String text(String key, String defaultValue) {
+        Object value = get(key, defaultValue == null);
         if (value instanceof Map || value instanceof List) {
             throw wrongType(key, "a text");
         }
-        return value == null ? otherwise : value.toString();
+        return value == null ? defaultValue : value.toString();
     }
 
     /** Returns whether the value of a key can be read as a string. */
@@ -261,9 +261,9 @@
 
     /**
      * Returns a copy of this object in which {@link #LEFT_OUT} replaces the elements of a list that
-     * {@code taken} rejects.
+     * {@code filter} rejects.
      */
-    JsonObject without(String list, Predicate<JsonObject> taken) {
+    JsonObject without(String list, Predicate<JsonObject> filter) {
         Map<String, Object> members = new LinkedHashMap<>();
         this.members.forEach((name, value) -> members.put((String) name, value));
         members.put(
@@ -271,7 +271,7 @@
                 array(list, true).stream()
                         .map(
                                 element ->
-                                        taken.test(
+                                        filter.test(
                                                         element instanceof Map<?, ?> object
                                                                 ? new JsonObject(object, "")
                                                                 : null)
--- a/daemon/src/main/java/cedarrudder/protocol/ObjectStream.java
+++ b/daemon/src/main/java/cedarrudder/protocol/ObjectStream.java
@@ -60,7 +60,7 @@
             events.begun();
         }
         if (buffer.size() >= max) {
-            throw new IOException("too long a list");
+            throw new IOException("list exceeds the size limit");
         }
         buffer.write(next);
         boolean broken =
--- a/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
+++ b/daemon/src/main/java/cedarrudder/protocol/RequestHeaders.java
@@ -28,7 +28,7 @@
      * had waited that long to be read. The tenth makes the rule hold for any deadline: one of 50 ms
      * loses 5.
      */
-    private static final long MAX_MARGIN_NANOS = 40_000_000L;
+    private static final long MAX_MARGIN = 40_000_000L;
 
     private static final String DEADLINE_KEY = "req-deadline-ms";
 
@@ -107,8 +107,7 @@
                 carried.hasClientDeadline()
                         ? 1_000_000 * parseWaitMillis(require(fields, DEADLINE_KEY))
                         : budgets.defaultDeadline(classIndex);
-        long deadline =
-                now + wait - Math.min(MAX_MARGIN_NANOS, wait / 10) - Math.min(lateness, wait / 5);
+        long deadline = now + wait - Math.min(MAX_MARGIN, wait / 10) - Math.min(lateness, wait / 5);
         if (carried.remainingNanos() > 0) {
             // The network time is already subtracted here, so only this loop's lateness is.
             deadline =
--- a/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
+++ b/daemon/src/main/java/cedarrudder/toml/ConfigTable.java
@@ -147,11 +147,11 @@
         return row[b.length()];
     }
 
-    private Object get(String key, boolean required, String allowed, String otherwise) {
+    private Object get(String key, boolean required, String allowed, String defaultValue) {
         knownKeys.add(key);
         document.asked(
                 new ConfigKey(
-                        plain(path + key), allowed, required ? ConfigKey.REQUIRED : otherwise));
+                        plain(path + key), allowed, required ? ConfigKey.REQUIRED : defaultValue));
         Object value = table.get(List.of(key));
         if (value == null && required) {
             problem(key, "nothing", allowed);
@@ -181,21 +181,21 @@
     }
 
     /** Reads an optional integer. */
-    public long integer(String key, long min, long max, long otherwise) {
-        return integer(key, min, max, otherwise, false);
+    public long integer(String key, long min, long max, long defaultValue) {
+        return integer(key, min, max, defaultValue, false);
     }
 
-    private long integer(String key, long min, long max, long otherwise, boolean required) {
+    private long integer(String key, long min, long max, long defaultValue, boolean required) {
         String allowed = "a whole number from " + min + " to " + max;
-        Object value = get(key, required, allowed, Long.toString(otherwise));
+        Object value = get(key, required, allowed, Long.toString(defaultValue));
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (value instanceof Long number && number >= min && number <= max) {
             return number;
         }
         problem(key, shown(value), allowed);
-        return otherwise;
+        return defaultValue;
     }
 
     /** Reads a required number. */
@@ -204,15 +204,16 @@
     }
 
     /** Reads an optional number. */
-    public double number(String key, double min, double max, double otherwise) {
-        return number(key, min, max, otherwise, false);
+    public double number(String key, double min, double max, double defaultValue) {
+        return number(key, min, max, defaultValue, false);
     }
 
-    private double number(String key, double min, double max, double otherwise, boolean required) {
+    private double number(
+            String key, double min, double max, double defaultValue, boolean required) {
         String allowed = "a number from " + plain(min) + " to " + plain(max);
-        Object value = get(key, required, allowed, plain(otherwise));
+        Object value = get(key, required, allowed, plain(defaultValue));
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (value instanceof Number number
                 && number.doubleValue() >= min
@@ -220,25 +221,25 @@
             return number.doubleValue();
         }
         problem(key, shown(value), allowed);
-        return otherwise;
+        return defaultValue;
     }
 
     /**
      * Reads a number, or a range of two numbers in brackets from which a value is drawn. The key is
-     * required where {@code otherwise} is null.
+     * required where {@code defaultValue} is null.
      */
-    public double[] range(String key, double min, double max, double[] otherwise) {
+    public double[] range(String key, double min, double max, double[] defaultValue) {
         double[] ends =
                 range(
                         key,
                         min,
                         max,
-                        otherwise == null,
-                        otherwise == null ? ConfigKey.REQUIRED : plain(otherwise));
+                        defaultValue == null,
+                        defaultValue == null ? ConfigKey.REQUIRED : plain(defaultValue));
         if (ends != null) {
             return ends;
         }
-        return otherwise == null ? new double[] {min, min} : otherwise;
+        return defaultValue == null ? new double[] {min, min} : defaultValue;
     }
 
     /** Reads an optional number or range as {@link #range} does; null where the key is absent. */
@@ -248,14 +249,15 @@
     }
 
     /** Reads a number or range; returns null where the value is missing or wrong. */
-    private double[] range(String key, double min, double max, boolean required, String otherwise) {
+    private double[] range(
+            String key, double min, double max, boolean required, String defaultValue) {
         String allowed =
                 "a number from "
                         + plain(min)
                         + " to "
                         + plain(max)
                         + ", or two such as [low, high]";
-        Object value = get(key, required, allowed, otherwise);
+        Object value = get(key, required, allowed, defaultValue);
         if (value == null) {
             return null;
         }
@@ -282,30 +284,32 @@
     }
 
     /** Reads an optional boolean. */
-    public boolean flag(String key, boolean otherwise) {
-        Object value = get(key, false, "true or false", Boolean.toString(otherwise));
+    public boolean flag(String key, boolean defaultValue) {
+        Object value = get(key, false, "true or false", Boolean.toString(defaultValue));
         if (value == null || value instanceof Boolean) {
-            return value == null ? otherwise : (Boolean) value;
+            return value == null ? defaultValue : (Boolean) value;
         }
         problem(key, shown(value), "true or false");
-        return otherwise;
+        return defaultValue;
     }
 
-    /** Reads a string; required where {@code otherwise} is null. */
-    public String text(String key, String otherwise) {
+    /** Reads a string; required where {@code defaultValue} is null. */
+    public String text(String key, String defaultValue) {
         Object value =
                 get(
                         key,
-                        otherwise == null,
+                        defaultValue == null,
                         "a text",
-                        otherwise == null || otherwise.isEmpty() ? ConfigKey.NONE : otherwise);
+                        defaultValue == null || defaultValue.isEmpty()
+                                ? ConfigKey.NONE
+                                : defaultValue);
         if (value instanceof String text) {
             return text;
         }
         if (value != null) {
             problem(key, shown(value), "a text");
         }
-        return otherwise == null ? "" : otherwise;
+        return defaultValue == null ? "" : defaultValue;
     }
 
     /** Reads a required time of day. */
@@ -356,10 +360,10 @@
     }
 
     /**
-     * Reads an enum constant, spelled as {@link #written} returns; required where {@code otherwise}
-     * is null.
+     * Reads an enum constant, spelled as {@link #written} returns; required where {@code
+     * defaultValue} is null.
      */
-    public <E extends Enum<E>> E choice(String key, Class<E> of, E otherwise) {
+    public <E extends Enum<E>> E choice(String key, Class<E> of, E defaultValue) {
         E[] constants = of.getEnumConstants();
         String allowed =
                 Arrays.stream(constants)
@@ -368,9 +372,9 @@
         Object value =
                 get(
                         key,
-                        otherwise == null,
+                        defaultValue == null,
                         allowed,
-                        otherwise == null ? ConfigKey.REQUIRED : written(otherwise));
+                        defaultValue == null ? ConfigKey.REQUIRED : written(defaultValue));
         for (E constant : constants) {
             if (written(constant).equals(value)) {
                 return constant;
@@ -379,7 +383,7 @@
         if (value != null) {
             problem(key, shown(value), allowed);
         }
-        return otherwise == null ? constants[0] : otherwise;
+        return defaultValue == null ? constants[0] : defaultValue;
     }
 
     /**
