--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -30,15 +30,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What this proxy decides with the others of its tier, wired to what it does. On the loop's thread.
+ * Connects the coordination among the replicas of a tier to the parts of this proxy. Runs on the
+ * loop's thread.
  */
 final class CoordinationWiring
         implements ReplicaCoordinator.Host, ReplicaCoordinator.ReplicaFactory {
 
     /**
-     * What a proxy is, beside what its operators set.
+     * What a replica is, beside the settings of its operators.
      *
-     * @param tableCapacity what it can load beside a table that it holds, which may be null
+     * @param zones the zone of each replica
+     * @param tableCapacity returns what the replica can load beside the table that is loaded, which
+     *     may be null
      */
     record LocalReplica(
             int[] zones,
@@ -47,7 +50,7 @@
             RandomGenerator random,
             Function<RouteTable, RouteTableCapacity> tableCapacity) {}
 
-    /** A history tells of calls that go by a table this often at most. */
+    /** The minimum interval between two history events that record the use of a table. */
     private static final long USE_EVENT_INTERVAL_NANOS = 100_000_000L;
 
     private final LocalReplica self;
@@ -66,9 +69,11 @@
     private long useRecordedAt;
 
     /**
-     * @param setDraining takes the numbers of all endpoints that are being removed, whenever that
-     *     changes
-     * @param failover null where operators have not asked for them
+     * Wires the coordination.
+     *
+     * @param setDraining receives the numbers of all endpoints that are being drained, whenever
+     *     that changes
+     * @param failover null where operators have not enabled failover
      * @param drains null where operators have no policies
      */
     CoordinationWiring(
@@ -100,11 +105,11 @@
     }
 
     /**
-     * The zone of each replica.
+     * Returns the zone of each replica.
      *
-     * @param names of all zones, by number
+     * @param names the names of all zones, by number
      * @param own the zone of this replica
-     * @throws IllegalArgumentException if they are not those of these replicas
+     * @throws IllegalArgumentException if the configured zones don't match these replicas
      */
     static int[] zones(
             AgreementTableSettings settings, List<String> names, int replicas, int self, int own) {
@@ -152,7 +157,7 @@
     }
 
     @Override
-    public CoordinatedReplica create(CoordinatedReplica.Actions outlet, long now) {
+    public CoordinatedReplica create(CoordinatedReplica.Actions actions, long now) {
         int replicas = self.zones.length;
         storage =
                 settings.folder() == null
@@ -173,7 +178,7 @@
                 failover == null ? TrafficCoordination.NONE : failover,
                 drains == null ? DrainCoordination.NONE : drains.start(now),
                 () -> self.tableCapacity.apply(table),
-                outlet,
+                actions,
                 now);
     }
 
@@ -192,7 +197,7 @@
         }
     }
 
-    /** Operators leave other zones from now on. */
+    /** Evacuates the zones of the new settings from now on. */
     void setFailover(FailoverSettings next) {
         if (failover != null) {
             failover.evacuate(next);
@@ -200,8 +205,8 @@
     }
 
     /**
-     * Shares of this replica's zone; what a zone's clients may send a second is divided by its live
-     * replicas.
+     * Applies the routes of this replica's zone to the forwarder; the requests per second that a
+     * zone's clients may send are divided by the number of its live replicas.
      */
     @Override
     public void onTable(RouteTable next) {
@@ -210,34 +215,37 @@
         }
         table = next;
         int own = self.zones[self.number];
-        int living = 0;
+        int liveReplicas = 0;
         for (int replica = 0; replica < self.zones.length; replica++) {
-            living +=
+            liveReplicas +=
                     self.zones[replica] == own && (replica == self.number || !dead.get(replica))
                             ? 1
                             : 0;
         }
-        int divided = living;
+        int replicasInZone = liveReplicas;
         forwarder.zoneSharesUpdated(
                 next == null
                         ? List.of()
                         : next.routes().stream()
-                                .filter(share -> share.from() == own)
+                                .filter(route -> route.from() == own)
                                 .map(
-                                        share ->
+                                        route ->
                                                 new ZoneTrafficShare(
-                                                        share.to(),
-                                                        share.weight(),
-                                                        share.maxPerSecond() == 0
+                                                        route.to(),
+                                                        route.weight(),
+                                                        route.maxPerSecond() == 0
                                                                 ? 0
                                                                 : Math.max(
                                                                         1,
-                                                                        share.maxPerSecond()
-                                                                                / divided)))
+                                                                        route.maxPerSecond()
+                                                                                / replicasInZone)))
                                 .toList());
     }
 
-    /** This avoids a judge that can't tell when a table was still used. */
+    /**
+     * Records that the table was used, so that a checker of the histories can tell how long it was
+     * in use.
+     */
     private void recordUse(long now) {
         if (table != null && now - useRecordedAt >= USE_EVENT_INTERVAL_NANOS) {
             useRecordedAt = now;
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -26,30 +26,33 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Drains by policies, wired to what this replica sees and does. On the loop's thread. */
+/**
+ * Connects drains by policies to the state and the actions of this replica. Runs on the loop's
+ * thread.
+ */
 final class DrainWiring
         implements DrainCoordination, DrainCoordinator.LocalState, DrainCoordinator.Actions {
 
-    /** Figures are those of so long, in nanoseconds. */
+    /** The time window over which traffic is counted, in nanoseconds. */
     private static final long TRAFFIC_WINDOW_NANOS = 10_000_000_000L;
 
-    /** Policies are proposed so often, until they count. */
+    /** The interval at which the policies are proposed until they are in force. */
     private static final long PROPOSAL_INTERVAL_NANOS = 1_000_000_000L;
 
-    /** An operator's call has so long to be agreed on. */
-    private static final long CALL_TIMEOUT_NANOS = 4_000_000_000L;
+    /** The time within which an operator's request has to be agreed on. */
+    private static final long ADMIN_REQUEST_TIMEOUT_NANOS = 4_000_000_000L;
 
     private record TimedSample(long at, TrafficSample totals) {}
 
-    /** A call of operators, of which this many parts are not settled yet. */
-    private static final class AdminCall {
+    /** A request of an operator, with the number of its proposals that are not settled yet. */
+    private static final class AdminRequest {
         private final Consumer<OperationResult> listener;
         private final boolean cancel;
         private final List<Long> nodes;
         private int openProposals;
         private boolean failed;
 
-        AdminCall(boolean cancel, List<Long> nodes, Consumer<OperationResult> listener) {
+        AdminRequest(boolean cancel, List<Long> nodes, Consumer<OperationResult> listener) {
             this.cancel = cancel;
             this.nodes = nodes;
             this.listener = listener;
@@ -64,7 +67,7 @@
     private final LocalTrafficView view;
     private final EventRecorder history;
     private final Logger log;
-    private final Map<ProposalKey, AdminCall> calls = new HashMap<>();
+    private final Map<ProposalKey, AdminRequest> adminRequests = new HashMap<>();
     private final Deque<TimedSample> samples = new ArrayDeque<>();
     private DrainsConfiguration configuration;
     private DrainCoordinator drains;
@@ -88,7 +91,7 @@
         this.log = log;
     }
 
-    /** This process takes part from now on; what it knew before counts no more. */
+    /** Starts with this process's participation; discards the state of an earlier one. */
     DrainCoordination start(long now) {
         drains =
                 new DrainCoordinator(
@@ -102,24 +105,27 @@
         return this;
     }
 
-    /** Sees to it that the policies of this replica's file count, where they may. */
+    /**
+     * Proposes the policies of this replica's file at intervals until they are in force, unless
+     * others overrule them.
+     */
     void proposePolicies(ReplicaCoordinator fleet) {
         loop.at(loop.now() + PROPOSAL_INTERVAL_NANOS, () -> proposePolicies(fleet));
-        byte[] wanted = drains == null ? null : drains.nextPolicyCommand();
-        if (wanted != null) {
-            fleet.propose(wanted, PROPOSAL_INTERVAL_NANOS);
+        byte[] command = drains == null ? null : drains.nextPolicyCommand();
+        if (command != null) {
+            fleet.propose(command, PROPOSAL_INTERVAL_NANOS);
         }
-        boolean over = drains != null && drains.isOverruled();
-        if (over && !wasOverruled) {
+        boolean overruled = drains != null && drains.isOverruled();
+        if (overruled && !wasOverruled) {
             log.warn("drain.policies_overruled")
                     .with("own_revision", configuration.revision())
                     .with("agreed_revision", drains.progress().revision())
                     .write();
         }
-        wasOverruled = over;
+        wasOverruled = overruled;
     }
 
-    /** The operator's file says this now. */
+    /** Applies the policies of the operator's file; null changes nothing. */
     void setPolicies(DrainsConfiguration next) {
         if (next != null) {
             configuration = next;
@@ -129,10 +135,10 @@
         }
     }
 
-    // ---- operators ----
+    // ---- operators' requests ----
 
-    /** Has endpoints leave, or ends that. */
-    void proposeAdminCall(
+    /** Proposes to drain endpoints, or to cancel their drains. */
+    void proposeAdminRequest(
             ReplicaCoordinator fleet,
             boolean cancel,
             List<Long> nodes,
@@ -141,10 +147,10 @@
             then.accept(OperationResult.UNAVAILABLE);
             return;
         }
-        AdminCall call = new AdminCall(cancel, nodes, then);
+        AdminRequest request = new AdminRequest(cancel, nodes, then);
         for (int from = 0; from < nodes.size(); from += DrainCoordinator.MAX_IDS) {
-            call.openProposals++;
-            Proposal made =
+            request.openProposals++;
+            Proposal proposal =
                     fleet.propose(
                             DrainCoordinator.drainRequest(
                                     cancel,
@@ -153,37 +159,44 @@
                                             Math.min(
                                                     nodes.size(),
                                                     from + DrainCoordinator.MAX_IDS))),
-                            CALL_TIMEOUT_NANOS);
-            if (made == null) {
-                call.openProposals--;
-                call.failed = true;
+                            ADMIN_REQUEST_TIMEOUT_NANOS);
+            if (proposal == null) {
+                request.openProposals--;
+                request.failed = true;
             } else {
-                calls.put(new ProposalKey(made.incarnation(), made.sequence()), call);
+                adminRequests.put(
+                        new ProposalKey(proposal.incarnation(), proposal.sequence()), request);
             }
         }
-        completeIfSettled(call);
+        completeIfSettled(request);
     }
 
-    /** What became of a proposal; false where it is none of these. */
+    /** Records the outcome of a proposal; returns false if it belongs to none of these requests. */
     boolean onProposalSettled(Proposal proposal, ProposalOutcome outcome) {
-        AdminCall call = calls.remove(new ProposalKey(proposal.incarnation(), proposal.sequence()));
-        if (call != null) {
-            call.openProposals--;
-            call.failed |= outcome != ProposalOutcome.COMMITTED;
-            completeIfSettled(call);
+        AdminRequest request =
+                adminRequests.remove(new ProposalKey(proposal.incarnation(), proposal.sequence()));
+        if (request != null) {
+            request.openProposals--;
+            request.failed |= outcome != ProposalOutcome.COMMITTED;
+            completeIfSettled(request);
         }
-        return call != null;
+        return request != null;
     }
 
-    /** This avoids a yes to what there was no room for. */
-    private void completeIfSettled(AdminCall call) {
-        if (call.openProposals == 0) {
-            boolean none =
-                    !call.cancel
-                            && call.nodes.stream()
+    /**
+     * Reports the result once all proposals are settled; a request that there was no capacity to
+     * carry out is never reported as done.
+     */
+    private void completeIfSettled(AdminRequest request) {
+        if (request.openProposals == 0) {
+            boolean noneAccepted =
+                    !request.cancel
+                            && request.nodes.stream()
                                     .anyMatch(node -> drains.state(node) == DrainState.NONE);
-            call.listener.accept(
-                    call.failed || none ? OperationResult.UNAVAILABLE : OperationResult.DONE);
+            request.listener.accept(
+                    request.failed || noneAccepted
+                            ? OperationResult.UNAVAILABLE
+                            : OperationResult.DONE);
         }
     }
 
@@ -191,7 +204,7 @@
         return drains == null ? null : drains.progress();
     }
 
-    // ---- what replicas agree on ----
+    // ---- agreement among replicas ----
 
     @Override
     public List<byte[]> reportParts(long now) {
@@ -238,7 +251,7 @@
         drains.onRestored(now, state);
     }
 
-    // ---- what this replica has ----
+    // ---- state of this replica ----
 
     @Override
     public int requestsInFlight(long node) {
@@ -262,34 +275,28 @@
     }
 
     @Override
-    public void onDrainChange(DrainCoordinator.DrainChange happened) {
-        String event = happened.event().name().toLowerCase(Locale.ROOT).replace('_', '-');
-        if (happened.effect() == Effect.ALARM) {
+    public void onDrainChange(DrainCoordinator.DrainChange change) {
+        String event = change.event().name().toLowerCase(Locale.ROOT).replace('_', '-');
+        if (change.effect() == Effect.ALARM) {
             log.warn("drain.deadline_exceeded")
-                    .with("endpoint", happened.node())
+                    .with("endpoint", change.node())
                     .with("event", event)
                     .write();
         }
         if (history != null) {
             history.record(
                     "drain",
-                    happened.event() == DrainEvent.BEGUN
+                    change.event() == DrainEvent.BEGUN
                             ? Map.of(
                                     "node",
-                                    happened.node(),
+                                    change.node(),
                                     "wave",
-                                    happened.wave(),
+                                    change.wave(),
                                     "event",
                                     event,
                                     "within",
-                                    happened.deadlineMillis() * 1_000_000)
-                            : Map.of(
-                                    "node",
-                                    happened.node(),
-                                    "wave",
-                                    happened.wave(),
-                                    "event",
-                                    event));
+                                    change.deadlineMillis() * 1_000_000)
+                            : Map.of("node", change.node(), "wave", change.wave(), "event", event));
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/FailoverWiring.java
@@ -19,7 +19,8 @@
 import java.util.Map;
 
 /**
- * Failover that replicas decide together, wired to what this replica sees. On the loop's thread.
+ * Connects the failover that replicas decide together to the traffic of this replica. Runs on the
+ * loop's thread.
  */
 final class FailoverWiring implements TrafficCoordination {
 
@@ -34,56 +35,58 @@
     private List<String> evacuatedZones = List.of();
 
     /**
-     * @param reports how often replicas report
+     * Wires the failover.
+     *
+     * @param reportInterval the interval at which replicas report, in nanoseconds
      * @param zoneOf the zone of each replica
-     * @param incarnation larger than that of any process of this replica before
-     * @param history takes what was seen of zones; null where nobody asked for that
-     * @throws IllegalArgumentException if the settings don't fit the site or the reports
+     * @param incarnation larger than that of any earlier process of this replica
+     * @param history receives the observations of zones; null where no history is written
+     * @throws IllegalArgumentException if the settings don't fit the site or the report interval
      */
     FailoverWiring(
             FailoverSettings settings,
             SiteSettings site,
-            long reports,
+            long reportInterval,
             int[] zoneOf,
             long incarnation,
             long now,
             RequestForwarder<?, ?> forwarder,
             EventRecorder history,
             Logger log) {
-        if (settings.period() != reports) {
+        if (settings.period() != reportInterval) {
             throw new IllegalArgumentException(
                     "failover.period_ms: found "
                             + settings.period() / NANOS_PER_MILLI
                             + "; allowed: "
-                            + reports / NANOS_PER_MILLI
+                            + reportInterval / NANOS_PER_MILLI
                             + ", by which "
                             + zoneOf.length
-                            + " copies report");
+                            + " replicas report");
         }
-        ZoneTrafficCounter tally =
+        ZoneTrafficCounter counter =
                 new ZoneTrafficCounter(
                         site.module().self(),
                         site.module().zone(),
                         incarnation,
                         site.zones().size(),
-                        reports,
+                        reportInterval,
                         site.module().safety(),
                         now);
-        this.failover = new FailoverCoordinator(settings, site.zones(), zoneOf, tally, now);
+        this.failover = new FailoverCoordinator(settings, site.zones(), zoneOf, counter, now);
         this.traffic = new FailoverTraffic(failover);
         this.zones = site.zones();
         this.history = history;
         this.log = log;
-        forwarder.countByZone(tally);
+        forwarder.countByZone(counter);
         evacuate(settings);
     }
 
-    /** This table counts from now on; null: none does. */
+    /** Records the table that is in force from now on; null if there is none. */
     void onTableLoaded(long now, RouteTable table) {
         failover.onTableLoaded(now, table);
     }
 
-    /** Operators leave other zones from now on; null: none. */
+    /** Evacuates the zones of these settings from now on; null: no zone. */
     void evacuate(FailoverSettings next) {
         List<String> names = next == null ? List.of() : next.evacuatedZones();
         List<String> unknown = failover.evacuate(names);
@@ -108,22 +111,22 @@
         return parts;
     }
 
-    private void recordObservations(ZoneObservations evidence) {
-        for (ZoneObservation seen : evidence.observations()) {
-            if (seen.age() == 0) {
+    private void recordObservations(ZoneObservations observations) {
+        for (ZoneObservation observation : observations.observations()) {
+            if (observation.age() == 0) {
                 history.record(
                         "saw",
                         Map.of(
                                 "zone",
-                                seen.zone(),
+                                observation.zone(),
                                 "served",
-                                seen.served(),
+                                observation.served(),
                                 "failed",
-                                seen.failed(),
+                                observation.failed(),
                                 "silent",
-                                seen.silent(),
+                                observation.silent(),
                                 "span",
-                                evidence.millis() * NANOS_PER_MILLI));
+                                observations.millis() * NANOS_PER_MILLI));
             }
         }
     }
@@ -137,7 +140,7 @@
     public List<RouteTable.ZoneRoute> plan(long now, TierView tier) {
         List<RouteTable.ZoneRoute> planned = traffic.plan(now, tier);
         List<TrafficSplitPlanner.Move> moves = failover.moves();
-        // Once: a plan is made again each period until it counts.
+        // Each move is logged once, since a plan is made again each period until it is in force.
         moves.stream()
                 .filter(move -> !loggedMoves.contains(move))
                 .forEach(
--- a/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
@@ -9,32 +9,36 @@
 import java.nio.file.Path;
 
 /**
- * Keeps two processes of one proxy in step during an upgrade: who else runs, what operators asked
- * of the other one, and which of them speaks to the peers. What can't be read counts as absent.
- * After {@link #join} it belongs to the event loop.
+ * Coordinates the processes of one proxy during an upgrade: which others run, what operators
+ * requested from them, and which one has the peer role, that is, communicates with the peers. State
+ * that can't be read counts as absent. After {@link #join} an instance belongs to the event loop.
  */
 final class HandoverCoordinator {
 
-    /** What changes in this process as others come and go. */
+    /** Receives the changes that follow from the start or end of other processes. */
     interface Listener {
-        /** This many processes of the proxy run, which share its bounds. */
+        /** Called with the number of processes that run and share the limits of the proxy. */
         void onProcesses(int processes);
 
-        /** This process speaks to the peers from now on, in place of one that has ended. */
-        void onSpeaker();
+        /**
+         * Called when this process acquires the peer role, in place of a process that has ended.
+         */
+        void onPeerRoleAcquired();
     }
 
-    /** How often this process looks for others. */
-    private static final long LOOK_INTERVAL_NANOS = 100_000_000L;
+    /** The interval at which this process polls for others. */
+    private static final long POLL_INTERVAL_NANOS = 100_000_000L;
 
     /**
-     * Looks at the folder after the last other process has gone: what it took back is to be seen
-     * twice.
+     * The polls of the folder after the last other process has ended: a withdrawn request has to be
+     * absent at two polls.
      */
-    private static final int LOOKS_AFTER_LAST = 2;
+    private static final int POLLS_AFTER_LAST_PROCESS = 2;
 
-    /** Looks that a successor leaves its predecessor to renew what was cleared. */
-    private static final int MAX_LOOKS_FOR_PREDECESSOR = 10;
+    /**
+     * The polls during which a successor leaves it to its predecessor to restore a cleared folder.
+     */
+    private static final int MAX_POLLS_AWAITING_PREDECESSOR = 10;
 
     private final ProxyEventLoop loop;
     private final Logger log;
@@ -43,19 +47,19 @@
     private final Listener listener;
     private final PersistedAdminState persisted;
     private final ProcessHandover processes;
-    private SiblingProcesses others = SiblingProcesses.NONE;
+    private SiblingProcesses siblings = SiblingProcesses.NONE;
     private AdminState lastRead;
-    private int looksLeft;
-    private int looksForPredecessor;
+    private int pollsLeft;
+    private int pollsAwaitingPredecessor;
 
-    /** Whether another process of this proxy speaks to the peers still. */
-    private boolean silent;
+    /** Another process of this proxy still has the peer role. */
+    private boolean otherHasPeerRole;
 
     /**
-     * A coordinator that looks for nobody yet.
+     * Creates a coordinator that does not poll for other processes yet.
      *
-     * @param folder where processes leave word for one another; used only where operators can ask
-     *     for something
+     * @param folder the folder through which processes exchange state; used only where the proxy
+     *     has an administrative address
      */
     HandoverCoordinator(
             ProxyEventLoop loop,
@@ -77,27 +81,29 @@
         log.warn("state.read_failed").with("why", why).write();
     }
 
-    // ---- the start, before the loop has it
+    // ---- start, before the instance belongs to the loop
 
-    /** Finds out who else runs; a process that can't find out takes itself to be alone. */
+    /**
+     * Registers this process and finds the others; if that fails, the process acts as the only one.
+     */
     void join() throws InterruptedException {
         try {
             processes.join();
-            others = processes.siblingProcesses();
+            siblings = processes.siblingProcesses();
         } catch (IOException e) {
             warnUnreadable(e.toString());
         }
     }
 
-    /** Whether a process of this proxy ran before this one. */
+    /** Returns whether another process of this proxy ran before this one. */
     boolean hasPredecessor() {
-        return others.predecessor();
+        return siblings.predecessor();
     }
 
-    /** Whether this process is the one that speaks to the peers. */
-    boolean claimSpeaker() {
+    /** Acquires the peer role; returns whether this process has it. */
+    boolean claimPeerRole() {
         try {
-            return processes.claimSpeaker();
+            return processes.claimPeerRole();
         } catch (IOException e) {
             warnUnreadable(e.toString());
             return true;
@@ -106,25 +112,26 @@
 
     // ---- on the loop
 
-    /** Another process speaks to the peers for now. */
-    void setSilent(boolean otherSpeaks) {
-        silent = otherSpeaks;
+    /** Sets whether another process has the peer role for now. */
+    void setOtherHasPeerRole(boolean otherSpeaks) {
+        otherHasPeerRole = otherSpeaks;
     }
 
     /**
-     * Takes what operators asked for before this process began, and looks for others from now on.
+     * Applies the operators' requests from before this process started, and starts polling for
+     * other processes.
      */
     void start() {
         restore();
         listener.onProcesses(processCount());
-        look();
+        poll();
     }
 
     private int processCount() {
-        return others.any() ? 2 : 1;
+        return siblings.any() ? 2 : 1;
     }
 
-    /** How many processes share the bounds of the proxy. */
+    /** Returns the number of processes that share the limits of the proxy. */
     int processes() {
         return processCount();
     }
@@ -141,23 +148,23 @@
         }
     }
 
-    /** Looks who else runs, and what operators have asked of it. */
-    private void look() {
-        loop.at(loop.now() + LOOK_INTERVAL_NANOS, this::look);
+    /** Polls for other processes and for what operators have requested from them. */
+    private void poll() {
+        loop.at(loop.now() + POLL_INTERVAL_NANOS, this::poll);
         try {
             renewFolder();
             SiblingProcesses now = processes.siblingProcesses();
             logChange(now);
-            boolean anyNow = now.any() || others.any();
-            looksLeft = anyNow ? LOOKS_AFTER_LAST : Math.max(0, looksLeft - 1);
-            others = now;
-            if (silent && processes.claimSpeaker()) {
-                silent = false;
-                listener.onSpeaker();
+            boolean anyNow = now.any() || siblings.any();
+            pollsLeft = anyNow ? POLLS_AFTER_LAST_PROCESS : Math.max(0, pollsLeft - 1);
+            siblings = now;
+            if (otherHasPeerRole && processes.claimPeerRole()) {
+                otherHasPeerRole = false;
+                listener.onPeerRoleAcquired();
             }
-            if (looksLeft > 0) {
+            if (pollsLeft > 0) {
                 listener.onProcesses(processCount());
-                follow(persisted.read());
+                applyRequests(persisted.read());
             }
         } catch (IOException e) {
             warnUnreadable(e.toString());
@@ -165,7 +172,7 @@
     }
 
     private void logChange(SiblingProcesses now) {
-        if (!now.equals(others)) {
+        if (!now.equals(siblings)) {
             log.info("upgrade.processes_changed")
                     .with("predecessor", now.predecessor())
                     .with("successor", now.successor())
@@ -175,21 +182,21 @@
     }
 
     /**
-     * Renews what operators have asked for where somebody has cleared the folder: it would be gone
-     * at the next start, and two processes would not see each other. A successor leaves that to its
-     * predecessor for a while, since it may not have read all of it yet.
+     * Restores the operators' requests if the folder has been cleared: otherwise they would be lost
+     * at the next start, and two processes would not find each other. A successor leaves that to
+     * its predecessor for a while, since the successor may not have read all requests yet.
      */
     private void renewFolder() throws IOException {
         try {
-            boolean may = true;
-            if (others.predecessor()) {
-                looksForPredecessor++;
-                may = looksForPredecessor > MAX_LOOKS_FOR_PREDECESSOR;
+            boolean mayRestore = true;
+            if (siblings.predecessor()) {
+                pollsAwaitingPredecessor++;
+                mayRestore = pollsAwaitingPredecessor > MAX_POLLS_AWAITING_PREDECESSOR;
             }
-            if (processes.rejoinIfReplaced(may, this::persistAll)) {
+            if (processes.rejoinIfReplaced(mayRestore, this::persistAll)) {
                 log.warn("state.restored").write();
             }
-            looksForPredecessor = 0;
+            pollsAwaitingPredecessor = 0;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt(); // the loop ends
         }
@@ -206,19 +213,20 @@
     }
 
     /**
-     * Does what operators asked of another process of this proxy. What is taken back has to be gone
-     * at two looks in turn, since a look may fall into the folder's being cleared.
+     * Applies what operators requested from another process of this proxy. A withdrawn request has
+     * to be absent at two consecutive polls, since a poll may coincide with the clearing of the
+     * folder.
      */
-    private void follow(AdminState state) {
+    private void applyRequests(AdminState state) {
         AdminState before = lastRead;
         lastRead = state;
         state.disabled().forEach(endpoints::disable);
         for (String name : endpoints.overrides().disabled()) {
-            boolean goneTwice =
+            boolean absentTwice =
                     before != null
                             && !before.disabled().contains(name)
                             && !state.disabled().contains(name);
-            if (goneTwice) {
+            if (absentTwice) {
                 endpoints.enable(name);
             }
         }
@@ -229,7 +237,7 @@
         }
     }
 
-    /** Tells other processes that this one is ready, before operators see it. */
+    /** Notifies other processes that this one is ready, before operators see that. */
     void announceReady() {
         try {
             processes.markReady();
@@ -240,7 +248,7 @@
         }
     }
 
-    /** Whether a successor is ready to take this one's clients. */
+    /** Returns whether a successor is ready to accept the clients of this process. */
     boolean isSuccessorReady() {
         try {
             renewFolder();
@@ -252,40 +260,40 @@
     }
 
     /**
-     * Whether this process speaks to the peers and has to stop now; it does not become the speaker
-     * any more.
+     * Stops acquiring the peer role, and returns whether this process has it and has to stop
+     * communicating with the peers.
      */
-    boolean endSpeaking() {
-        boolean spoke = !silent;
-        silent = false;
-        return spoke;
+    boolean endPeerRole() {
+        boolean hadPeerRole = !otherHasPeerRole;
+        otherHasPeerRole = false;
+        return hadPeerRole;
     }
 
-    /** A successor may speak to the peers now. */
-    void releaseSpeaker() {
+    /** Releases the peer role, so that a successor can acquire it. */
+    void releasePeerRole() {
         try {
-            processes.releaseSpeaker();
+            processes.releasePeerRole();
         } catch (IOException e) {
             warnUnreadable(e.toString());
         }
     }
 
-    // ---- what operators ask of this process
+    // ---- operators' requests to this process
 
-    /** A change of what is persisted. */
+    /** A change of the persisted state. */
     interface Change {
         void persist(PersistedAdminState state) throws IOException;
     }
 
     /**
-     * Persists a change before it is carried out: a new process has to know of it once the operator
-     * has a yes.
+     * Persists a change before it is carried out: a new process has to know of the change once the
+     * operator has received a confirmation.
      *
-     * @return whether it was persisted
+     * @return whether the change was persisted
      */
     boolean persist(Change change) {
         try {
-            renewFolder(); // first, so that this change is not undone with the rest
+            renewFolder(); // first, so that this change is not overwritten by restored state
             change.persist(persisted);
             return true;
         } catch (IOException e) {
--- a/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
@@ -11,53 +11,54 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * Which other processes run for this proxy, known by locks on bytes of one file: each process
- * claims a place, writes there since when it runs, holds a byte as long as it lives, and another
- * once it is ready; one more byte is held by the one that speaks to the peers. The kernel frees
- * them when it dies, however it does.
+ * Registry of the processes that run for one proxy, based on locks on bytes of one file: each
+ * process claims a slot, writes its start time there, and locks one byte while it runs and another
+ * once it is ready; one more byte is locked by the process that communicates with the peers. The
+ * kernel releases the locks when a process ends, in whatever way.
  *
- * <p>The file is open once in a process: closing any descriptor of it would free the locks of all.
- * Where somebody has removed it, {@link #rejoinIfReplaced} takes a place in the one that is there
- * now.
+ * <p>A process opens the file only once: closing any descriptor of the file would release all its
+ * locks. Where the file has been removed, {@link #rejoinIfReplaced} claims a slot in the current
+ * file.
  */
 final class ProcessHandover {
 
-    /** Processes of one proxy at once; an upgrade has two. */
+    /** The maximum number of processes of one proxy at once; an upgrade has two. */
     private static final int SLOTS = 8;
 
     /**
-     * Where a process that lives, one that is ready, and one that takes a place, hold their bytes.
+     * Offsets of the bytes that a running process, a ready process, and a process that claims a
+     * slot lock: those of running processes start at 0.
      */
     private static final int READY_OFFSET = SLOTS;
 
     private static final int CLAIMED_OFFSET = 2 * SLOTS;
 
-    /** Held while what the folder said is written anew. */
+    /** Offset of the byte that is locked while the state in the folder is restored. */
     private static final int RESTORING_OFFSET = 3 * SLOTS;
 
-    /** Held by the process that speaks to the peers. */
-    private static final int SPEAKER_OFFSET = RESTORING_OFFSET + 1;
+    /** Offset of the byte that the process with the peer role locks. */
+    private static final int PEER_ROLE_OFFSET = RESTORING_OFFSET + 1;
 
     /**
-     * What the file holds: a byte that says whether that was done, and then since when each process
-     * runs.
+     * Offsets in the content of the file: a byte that is set once the folder has been restored, and
+     * then the start time of each process.
      */
     private static final int RESTORED_FLAG_OFFSET = 0;
 
     private static final int START_TIMES_OFFSET = 8;
 
     /**
-     * Another process's look at a byte locks it for a moment: this many tries tell that from a
-     * process.
+     * The attempts to lock a byte: another process's check locks a byte for a moment, which has to
+     * be told from a lock that is held for good.
      */
     private static final int LOCK_TRIES = 5;
 
     /**
-     * Who else runs.
+     * The other processes that run.
      *
-     * @param predecessor one that ran before this one
-     * @param successor one that was started later
-     * @param successorReady and can serve
+     * @param predecessor whether one started before this one
+     * @param successor whether one started later
+     * @param successorReady whether a successor is ready to serve
      */
     record SiblingProcesses(boolean predecessor, boolean successor, boolean successorReady) {
 
@@ -68,32 +69,33 @@
         }
     }
 
-    /** Writes what this process holds of the folder, which somebody has emptied. */
+    /** Restores the state that this process has of a folder that has been cleared. */
     interface FolderRestorer {
         void run() throws IOException;
     }
 
     private final Path folder;
 
-    /** By the clock that all processes of a machine share and nobody sets. */
+    /** By the monotonic clock that all processes of a machine share and that nobody sets. */
     private final long startedAt = System.nanoTime();
 
     private FileChannel file;
     private Object fileKey;
     private int ownSlot = -1;
     private boolean ready;
-    private FileLock speakerLock;
+    private FileLock peerRoleLock;
 
-    /** Whether this process is the one that speaks, also while the file is another one. */
-    private boolean isSpeaker;
+    /** Remains true while the file is replaced by another one. */
+    private boolean hasPeerRole;
 
     ProcessHandover(Path folder) {
         this.folder = folder;
     }
 
     /**
-     * Takes a place among the processes; an IOException leaves this process alone, for all that it
-     * knows.
+     * Claims a slot among the processes.
+     *
+     * @throws IOException if that fails; this process then acts as the only one
      */
     void join() throws IOException, InterruptedException {
         open();
@@ -101,38 +103,38 @@
     }
 
     /**
-     * Takes a place in the file that is there now where it is another than the one it was, since
-     * somebody has removed that. Of the processes that had a place before one has what the folder
-     * said written anew, before any of them can be seen again. This avoids those that start
-     * afterwards finding nobody and no ban.
+     * Claims a slot in the current file if the file was removed and replaced. One of the processes
+     * that had a slot before restores the state of the folder before any of them is visible again,
+     * so that a process that starts afterwards finds the others and the disabled endpoints.
      *
-     * @param may whether this process may be the one; else an IOException says that it is to come
-     *     again
-     * @return whether it was another file
+     * @param mayRestore whether this process may restore the folder; otherwise an IOException says
+     *     that the caller has to try again
+     * @return whether the file was replaced
      */
-    boolean rejoinIfReplaced(boolean may, FolderRestorer restoring)
+    boolean rejoinIfReplaced(boolean mayRestore, FolderRestorer restorer)
             throws IOException, InterruptedException {
         if (file == null || ownSlot >= 0 && fileKey.equals(currentFileKey())) {
             return false;
         }
-        ownSlot = -1; // until it has a place: this avoids a failure here being the last look at it
+        ownSlot = -1; // reset until a slot is claimed, so that the next call tries again after a
+        // failure
         file.close();
         open();
         FileLock lock = lock(RESTORING_OFFSET);
         if (lock == null) {
-            throw new IOException("another process writes " + folder + " anew");
+            throw new IOException("another process is restoring " + folder + " now");
         }
         try {
-            if (isSpeaker) {
-                speakerLock = lock(SPEAKER_OFFSET); // before others can: see the flag below
+            if (hasPeerRole) {
+                peerRoleLock =
+                        lock(PEER_ROLE_OFFSET); // before other processes can: see the flag below
             }
             ByteBuffer flag = ByteBuffer.allocate(1);
             if (file.read(flag, RESTORED_FLAG_OFFSET) < 1 || flag.get(0) == 0) {
-                if (!may) {
-                    throw new IOException(
-                            "the process before this one is to write " + folder + " anew");
+                if (!mayRestore) {
+                    throw new IOException("the predecessor has to restore " + folder + " first");
                 }
-                restoring.run();
+                restorer.run();
                 file.write(ByteBuffer.wrap(new byte[] {1}), RESTORED_FLAG_OFFSET);
             }
         } finally {
@@ -157,7 +159,10 @@
         fileKey = currentFileKey();
     }
 
-    /** Which file is there now; another object than any other's where there is none. */
+    /**
+     * Returns the key of the current file; a new object, equal to no other key, where there is
+     * none.
+     */
     private Object currentFileKey() throws IOException {
         try {
             return Files.readAttributes(folder.resolve("processes"), BasicFileAttributes.class)
@@ -173,8 +178,8 @@
             if (claim == null) {
                 continue;
             }
-            if (isHeld(i)) {
-                claim.release(); // by a version that makes no claims
+            if (isLocked(i)) {
+                claim.release(); // locked by a version that makes no claims
                 continue;
             }
             file.write(ByteBuffer.allocate(Long.BYTES).putLong(0, startedAt), startTimeOffset(i));
@@ -193,8 +198,8 @@
         return START_TIMES_OFFSET + (long) slot * Long.BYTES;
     }
 
-    /** Whether another process holds this byte for good. */
-    private boolean isHeld(long at) throws IOException, InterruptedException {
+    /** Returns whether another process locks this byte permanently. */
+    private boolean isLocked(long at) throws IOException, InterruptedException {
         FileLock lock = lock(at);
         if (lock != null) {
             lock.release();
@@ -203,8 +208,8 @@
     }
 
     /**
-     * Locks a byte, which another process's look may hold for a moment; null where one holds it for
-     * good.
+     * Locks a byte, which another process's check may lock for a moment; returns null where another
+     * process locks it permanently.
      */
     private FileLock lock(long at) throws IOException, InterruptedException {
         FileLock lock = file.tryLock(at, 1, false);
@@ -215,34 +220,34 @@
         return lock;
     }
 
-    /** Tells the others that this process can serve. */
+    /** Notifies the other processes that this one can serve. */
     void markReady() throws IOException, InterruptedException {
         ready = ready || ownSlot >= 0 && lock((long) READY_OFFSET + ownSlot) != null;
     }
 
     /**
-     * Takes the right to speak to the peers, which one process has at a time; false where another
-     * has it. This avoids two lives under one number, of which each hears half of the answers and
-     * contradicts the other.
+     * Acquires the right to communicate with the peers, which one process has at a time; returns
+     * false where another process has it. Otherwise two incarnations would use one replica number,
+     * each would receive half of the answers, and they would contradict each other.
      */
-    boolean claimSpeaker() throws IOException {
-        if (ownSlot >= 0 && !isSpeaker) {
-            speakerLock = file.tryLock(SPEAKER_OFFSET, 1, false);
-            isSpeaker = speakerLock != null;
+    boolean claimPeerRole() throws IOException {
+        if (ownSlot >= 0 && !hasPeerRole) {
+            peerRoleLock = file.tryLock(PEER_ROLE_OFFSET, 1, false);
+            hasPeerRole = peerRoleLock != null;
         }
-        return ownSlot < 0 || isSpeaker;
+        return ownSlot < 0 || hasPeerRole;
     }
 
-    /** Gives that right away. */
-    void releaseSpeaker() throws IOException {
-        isSpeaker = false;
-        if (speakerLock != null && speakerLock.isValid()) {
-            speakerLock.release();
+    /** Releases that right. */
+    void releasePeerRole() throws IOException {
+        hasPeerRole = false;
+        if (peerRoleLock != null && peerRoleLock.isValid()) {
+            peerRoleLock.release();
         }
-        speakerLock = null;
+        peerRoleLock = null;
     }
 
-    /** Looks who else runs now: some microseconds. */
+    /** Returns the other processes that run now; takes some microseconds. */
     SiblingProcesses siblingProcesses() throws IOException {
         if (ownSlot < 0) {
             return SiblingProcesses.NONE;
@@ -261,10 +266,10 @@
                 predecessor = true;
             } else {
                 successor = true;
-                FileLock probe = file.tryLock((long) READY_OFFSET + i, 1, false);
-                successorReady |= probe == null;
-                if (probe != null) {
-                    probe.release();
+                FileLock readyLock = file.tryLock((long) READY_OFFSET + i, 1, false);
+                successorReady |= readyLock == null;
+                if (readyLock != null) {
+                    readyLock.release();
                 }
             }
         }
@@ -272,12 +277,12 @@
     }
 
     /**
-     * Whether the process at a place began before this one; one that writes nothing is of a version
-     * before.
+     * Returns whether the process in a slot started before this one; a process that writes no start
+     * time is of an earlier version.
      */
     private boolean startedBefore(int slot) throws IOException {
-        ByteBuffer probe = ByteBuffer.allocate(Long.BYTES);
-        return file.read(probe, startTimeOffset(slot)) < Long.BYTES
-                || probe.getLong(0) - startedAt < 0;
+        ByteBuffer buffer = ByteBuffer.allocate(Long.BYTES);
+        return file.read(buffer, startTimeOffset(slot)) < Long.BYTES
+                || buffer.getLong(0) - startedAt < 0;
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
@@ -106,7 +106,7 @@
             then.accept(OperationResult.UNKNOWN_ENDPOINT);
         } else {
             parts.drains()
-                    .proposeAdminCall(parts.coordination().coordinator(), cancel, chosen, then);
+                    .proposeAdminRequest(parts.coordination().coordinator(), cancel, chosen, then);
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
@@ -78,7 +78,8 @@
             ProxyServer proxy, String file, ServeOptions options, AsyncLogWriter lines) {
         ReloadSignal reloads = new ReloadSignal();
         Signals.onHangup(
-                () -> reloads.onSignal(() -> reload(proxy, file, options)), proxy::noReloadSignal);
+                () -> reloads.onSignal(() -> reload(proxy, file, options)),
+                proxy::logIgnoredReloadSignal);
         Thread shutdown =
                 new Thread(
                         () -> {
@@ -111,7 +112,7 @@
             try {
                 proxy.apply(options.read());
             } catch (InvalidFileException e) {
-                proxy.keep(e);
+                proxy.logRejectedOperatorFile(e);
             }
         }
     }
--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -57,17 +57,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * One proxy: its parts wired together, its start, the reload of its configuration and its end.
+ * One proxy: wires its parts together, starts them, reloads the configuration and shuts down.
  *
  * <p>The parts belong to the event loop. {@link #start}, {@link #reload}, {@link #apply} and {@link
- * #shutDown} are called from other threads and hand over tasks.
+ * #shutDown} are called from other threads and submit tasks to the loop.
  */
 final class ProxyServer {
 
-    /** A successor waits this long for discovery's list before it lets clients in. */
+    /**
+     * The longest time a successor waits for a fresh list from discovery before it accepts clients.
+     */
     private static final long FRESH_LIST_TIMEOUT_NANOS = 2_000_000_000L;
 
-    /** The loop answers another thread within this time, or counts as over. */
+    /**
+     * The longest time another thread waits for the loop; a loop that takes longer counts as ended.
+     */
     private static final long LOOP_ANSWER_TIMEOUT_NANOS = 3_000_000_000L;
 
     private final Logger log;
@@ -87,7 +91,7 @@
     private final StartupGate gate = new StartupGate();
     private final CountDownLatch freshList = new CountDownLatch(1);
 
-    // Subsystems that are off where the operator's file has no table for them: null then.
+    // Subsystems that are null where the operator's file has no table for them.
     private final EndpointListReader listReader;
     private final ProcessMemoryEstimate estimate;
     private final HistoryFile history;
@@ -99,10 +103,10 @@
     private boolean serving;
 
     /**
-     * Wires the parts; nothing is opened yet.
+     * Wires the parts without opening any socket.
      *
-     * @param state where what operators ask for is persisted; read and written only where they can
-     *     ask
+     * @param state the folder in which operators' requests are persisted; used only where the proxy
+     *     has an administrative address
      * @throws IllegalArgumentException where the operator's file does not fit the configuration
      */
     ProxyServer(ProxyConfiguration configuration, OperatorFile operator, Logger log, Path state) {
@@ -111,10 +115,10 @@
         this.log = log;
         var site = configuration.site();
         setLog(operator.of(LogTable.LOG));
-        HistorySettings recorded = operator.of(HistoryTable.HISTORY);
-        long clockOffset = recorded == null ? 0 : recorded.clockOffset();
+        HistorySettings historySettings = operator.of(HistoryTable.HISTORY);
+        long clockOffset = historySettings == null ? 0 : historySettings.clockOffset();
         LongSupplier wallClock = () -> wallClockMillis(clockOffset);
-        loop = newLoop(recorded, log);
+        loop = newLoop(historySettings, log);
         Budgets budgets =
                 ReplicaWiring.budgets(operator.of(BudgetTable.BUDGET), configuration, log);
         metrics = new RequestMetrics(site.module().classes().size());
@@ -131,7 +135,10 @@
         endpoints = new EndpointAdministration(loop, log, forwarder);
         handover =
                 new HandoverCoordinator(loop, log, server, endpoints, state, new OtherProcesses());
-        history = recorded == null ? null : new HistoryFile(recorded.file(), site.module().self());
+        history =
+                historySettings == null
+                        ? null
+                        : new HistoryFile(historySettings.file(), site.module().self());
         recordEstimates();
         ReplicaWiring wiring =
                 new ReplicaWiring(configuration, loop, peers, forwarder, wallClock, history, log);
@@ -143,10 +150,10 @@
 
     // ---- wiring
 
-    private static ProxyEventLoop newLoop(HistorySettings recorded, Logger log) {
-        boolean skewed = recorded != null && recorded.clockDrift() != 0;
+    private static ProxyEventLoop newLoop(HistorySettings historySettings, Logger log) {
+        boolean skewed = historySettings != null && historySettings.clockDrift() != 0;
         return skewed
-                ? new ProxyEventLoop(log, new SkewedClock(recorded.clockDrift()))
+                ? new ProxyEventLoop(log, new SkewedClock(historySettings.clockDrift()))
                 : new ProxyEventLoop(log);
     }
 
@@ -186,7 +193,7 @@
                 buffers);
     }
 
-    /** How many clients this process may have at once. */
+    /** Returns the maximum number of clients this process may have at once. */
     private int maxClients() {
         return operator.of(CallersTable.CALLERS).maxClients(configuration.sockets());
     }
@@ -200,7 +207,7 @@
                 metrics);
     }
 
-    /** What the machine's clock says, or is taken to say in a trial; milliseconds. */
+    /** Returns the machine's clock plus an offset that a trial may set, in milliseconds. */
     private static long wallClockMillis(long offset) {
         return System.currentTimeMillis() + offset;
     }
@@ -231,9 +238,9 @@
     }
 
     private ProcessMemoryEstimate newEstimate() {
-        // By default there are an administrative address, with the file of this proxy's processes,
-        // and one for its peers.
-        int furtherDescriptors =
+        // By default a proxy has an administrative address, with the file that lists its processes,
+        // and an address for its peers.
+        int additionalDescriptors =
                 (operator.of(HistoryTable.HISTORY) == null ? 0 : 1)
                         - (configuration.admin() == null ? 2 : 0)
                         - (configuration.peerListen() == null ? 1 : 0);
@@ -241,7 +248,7 @@
                 configuration.site(),
                 MachineLayout.read(),
                 MachineLayout.limits(configuration.memory()),
-                furtherDescriptors,
+                additionalDescriptors,
                 () ->
                         new ProcessMemoryEstimate.Load(
                                 server.clients(),
@@ -250,7 +257,7 @@
                                 buffers.bufferedBytes()));
     }
 
-    /** The most that the process may come to hold beside endpoints. */
+    /** Returns the maximum load that the process may have beside its endpoints. */
     private ProcessMemoryEstimate.Load maxLoad() {
         int maxClients = maxClients();
         EndpointLimits.Bounds bounds =
@@ -270,7 +277,10 @@
         }
     }
 
-    /** Apart from the constructor, so that a start without it loads none of its classes. */
+    /**
+     * Creates the coordination outside the constructor, so that a start without coordination loads
+     * none of its classes.
+     */
     private CoordinationWiring newCoordination(
             ReplicaWiring wiring, AgreementTableSettings agreement) {
         return wiring.coordination(
@@ -282,8 +292,8 @@
                 endpoints::setDraining);
     }
 
-    private RouteTableCapacity routeTableCapacity(RouteTable held) {
-        return estimate == null ? RouteTableCapacity.ANY : estimate.capacity(held, listReader);
+    private RouteTableCapacity routeTableCapacity(RouteTable loaded) {
+        return estimate == null ? RouteTableCapacity.ANY : estimate.capacity(loaded, listReader);
     }
 
     private boolean isReady() {
@@ -293,25 +303,25 @@
     // ---- the start
 
     /**
-     * Starts it: the balancer learns the list it had before, then clients are let in.
+     * Starts the proxy: the balancer receives the cached list first, then clients are accepted.
      *
-     * @throws IOException where an address can't be listened at
+     * @throws IOException where an address can't be listened on
      */
     void start() throws IOException, InterruptedException {
-        boolean administered = configuration.admin() != null;
-        if (administered) {
+        boolean hasAdminAddress = configuration.admin() != null;
+        if (hasAdminAddress) {
             handover.join();
         }
         boolean replacing = handover.hasPredecessor();
-        boolean speaks = membership == null || handover.claimSpeaker();
-        startParts(administered, replacing, speaks);
-        if (administered) {
+        boolean hasPeerRole = membership == null || handover.claimPeerRole();
+        startParts(hasAdminAddress, replacing, hasPeerRole);
+        if (hasAdminAddress) {
             new AdminListener(loop, adminOperations()).listen(configuration.admin());
         }
-        if (configuration.peerListen() != null && speaks) {
-            peers.listen(configuration.peerListen(), administered);
+        if (configuration.peerListen() != null && hasPeerRole) {
+            peers.listen(configuration.peerListen(), hasAdminAddress);
             if (membership != null) {
-                loop.run(this::startSpeaking);
+                loop.run(this::startPeerServices);
             }
         }
         warmUp();
@@ -319,23 +329,24 @@
             freshList.await(FRESH_LIST_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
         }
         if (!gate.join()) {
-            return; // asked to end before any client could come
+            return; // asked to end before any client could connect
         }
-        server.listen(configuration.listen(), administered);
-        loop.run(() -> onServing(administered));
+        server.listen(configuration.listen(), hasAdminAddress);
+        loop.run(() -> onServing(hasAdminAddress));
     }
 
     /**
-     * Starts the parts on the loop, with the list of the configuration; returns once that is done.
+     * Starts the parts on the loop, with the list from the configuration; returns once that is
+     * done.
      */
-    private void startParts(boolean administered, boolean replacing, boolean speaks)
+    private void startParts(boolean hasAdminAddress, boolean replacing, boolean hasPeerRole)
             throws InterruptedException {
-        EndpointList known = takeKnownList();
+        EndpointList known = removeKnownList();
         CountDownLatch done = new CountDownLatch(1);
         loop.run(
                 () -> {
-                    handover.setSilent(!speaks);
-                    if (administered) {
+                    handover.setOtherHasPeerRole(!hasPeerRole);
+                    if (hasAdminAddress) {
                         handover.start();
                     }
                     startDiscovery(known, replacing);
@@ -354,18 +365,19 @@
 
     private void startDiscovery(EndpointList known, boolean replacing) {
         if (known != null && listReader != null && listReader.last().waits() > 0) {
-            discovery.onCachedListIncomplete(); // first, since the watch is asked for from there
+            discovery.onCachedListIncomplete(); // first, since the watch is requested from there
         }
         if (!configuration.site().module().pollsEndpoints()) {
-            discovery.watch(true); // nobody asks for it: what was pushed counts from now on
+            discovery.watch(
+                    true); // no caller requests a watch here: updates pushed from now on count
         }
         if (replacing) {
             discovery.fetchAll();
         }
     }
 
-    /** The list of the configuration, which drops it; null where it has none. */
-    private EndpointList takeKnownList() {
+    /** Removes the cached list from the configuration and returns it; null where there is none. */
+    private EndpointList removeKnownList() {
         JsonObject list = configuration.known();
         configuration = configuration.withoutKnown();
         if (list.list("servers", false).isEmpty()) {
@@ -374,7 +386,7 @@
         return listParser.read(listReader == null ? list : listReader.read(list));
     }
 
-    /** What this process takes beside endpoints, once it has the list with which it starts. */
+    /** Measures what this process needs beside endpoints, once its first list is loaded. */
     private void measure() {
         estimate.measure(listReader.held());
         if (history != null && listReader.last() != null) {
@@ -400,8 +412,11 @@
                         drains));
     }
 
-    /** Begins to speak to the peers, as the process of this proxy that does; on the loop. */
-    private void startSpeaking() {
+    /**
+     * Starts communicating with the peers, as the process of this proxy that has the peer role;
+     * runs on the loop.
+     */
+    private void startPeerServices() {
         membership.start();
         if (coordination != null) {
             coordination.coordinator().start();
@@ -412,8 +427,8 @@
     }
 
     /**
-     * Sends itself requests, not at the clients' address, where another process of this proxy might
-     * get them.
+     * Sends requests from the proxy to itself, at an address other than that of the clients, where
+     * another process of this proxy might receive them.
      */
     private void warmUp() throws IOException, InterruptedException {
         InetSocketAddress anyPort = new InetSocketAddress(configuration.listen().getAddress(), 0);
@@ -434,8 +449,8 @@
         }
     }
 
-    private void onServing(boolean administered) {
-        if (administered) {
+    private void onServing(boolean hasAdminAddress) {
+        if (hasAdminAddress) {
             handover.announceReady();
         }
         serving = true;
@@ -465,7 +480,7 @@
         }
     }
 
-    /** What changes as other processes of this proxy come and go. */
+    /** Applies the changes that follow from the start or end of another process of this proxy. */
     private final class OtherProcesses implements HandoverCoordinator.Listener {
         @Override
         public void onProcesses(int processes) {
@@ -473,12 +488,12 @@
         }
 
         @Override
-        public void onSpeaker() {
-            peers.takeOver(configuration.peerListen(), ProxyServer.this::startSpeaking);
+        public void onPeerRoleAcquired() {
+            peers.takeOver(configuration.peerListen(), ProxyServer.this::startPeerServices);
         }
     }
 
-    /** All processes of a proxy together hold no more descriptors and buffers than one may. */
+    /** Divides the limits of a proxy on descriptors and buffers among all its processes. */
     private void applyBounds(int processes) {
         int sockets = configuration.sockets() / processes;
         buffers.max(BufferAccount.MAX / processes);
@@ -492,13 +507,13 @@
     // ---- reload
 
     /**
-     * Takes what has changed in the configuration, from any thread: the address of discovery. The
-     * rest counts from the next start. Requests and clients notice nothing.
+     * Applies the changed discovery address of the configuration, from any thread. The other
+     * settings take effect at the next start. Requests and clients are not affected.
      *
-     * <p>It is read on the caller's thread, since a slow file would stop the loop. Of two changes
-     * the later one counts where the caller reads one at a time.
+     * <p>The configuration is read on the caller's thread, since reading a slow file would block
+     * the loop. Of two changes the later one counts if the caller reads one at a time.
      *
-     * @param changed reads the configuration, or says in an exception why it can't
+     * @param changed reads the configuration, or throws an exception that says why it can't
      */
     void reload(Callable<ProxyConfiguration> changed) {
         try {
@@ -511,12 +526,12 @@
                         discovery.moveTo(next.discovery());
                     });
         } catch (Exception e) {
-            // A file that is broken or half written must not end what works.
+            // A broken or half-written file must not stop a working proxy.
             loop.run(() -> log.warn("configuration.rejected").with("why", e.getMessage()).write());
         }
     }
 
-    /** Takes what the operator's file says now, from any thread. Requests notice nothing. */
+    /** Applies the operator's file, from any thread. Requests are not affected. */
     void apply(OperatorFile next) {
         loop.run(
                 () -> {
@@ -534,13 +549,16 @@
                 });
     }
 
-    /** Logs that the operator's file can't be used, from any thread; nothing changes. */
-    void keep(InvalidFileException bad) {
+    /**
+     * Logs that the operator's file can't be used, from any thread; the earlier settings stay in
+     * force.
+     */
+    void logRejectedOperatorFile(InvalidFileException rejected) {
         loop.run(
                 () ->
                         log.warn("operator_file.rejected")
-                                .with("problems", bad.problems().size())
-                                .with("first", bad.problems().get(0))
+                                .with("problems", rejected.problems().size())
+                                .with("first", rejected.problems().get(0))
                                 .write());
     }
 
@@ -551,20 +569,22 @@
     }
 
     /** Logs that SIGHUP will not be handled, and why; from any thread. */
-    void noReloadSignal(String why) {
+    void logIgnoredReloadSignal(String why) {
         loop.run(() -> log.warn("sighup.ignored").with("why", why).write());
     }
 
     // ---- the end
 
-    /** It could not start: to end it, nothing needs to be waited for. From any thread. */
+    /**
+     * Records that the start has failed, so that the shutdown waits for nothing. From any thread.
+     */
     void abandon() {
         gate.abandon();
     }
 
     /**
-     * Answers all that was taken and returns when nothing is left; at once where no client could
-     * come yet. To be called from another thread.
+     * Answers all accepted requests and returns when none is left; returns at once if no client
+     * could have connected yet. Must be called from a thread other than the loop's.
      */
     void shutDown() {
         if (!gate.end()) {
@@ -586,7 +606,7 @@
 
     private void startShutdown(CountDownLatch done) {
         boolean replaced = configuration.admin() != null && handover.isSuccessorReady();
-        stopSpeaking(replaced);
+        stopPeerServices(replaced);
         if (replaced) {
             log.info("proxy.replaced").write();
             server.handOver(done::countDown);
@@ -596,35 +616,42 @@
         }
     }
 
-    /** Speaks to the peers no longer: a successor does, or they learn that this replica is gone. */
-    private void stopSpeaking(boolean replaced) {
-        boolean spoke = handover.endSpeaking();
-        if (membership == null || !spoke) {
+    /**
+     * Ends the communication with the peers: either a successor continues it, or the peers are
+     * notified that this replica leaves.
+     */
+    private void stopPeerServices(boolean replaced) {
+        boolean hadPeerRole = handover.endPeerRole();
+        if (membership == null || !hadPeerRole) {
             return;
         }
         if (coordination != null) {
-            coordination.coordinator().stop(); // first: what it says goes out by the peers' socket
+            coordination
+                    .coordinator()
+                    .stop(); // first: its messages are sent through the peers' socket
         }
         if (replaced) {
             membership.stopSpeaking();
         } else {
             membership.leave();
         }
-        handover.releaseSpeaker();
+        handover.releasePeerRole();
     }
 
     /**
-     * Waits for the shutdown, but not for one that is stuck, such as that of a process whose jar
-     * was replaced under it, so that a class of it can't be loaded any more.
+     * Waits for the shutdown while bodies are streamed, but not for one that is stuck, such as that
+     * of a process whose jar was replaced while it ran, so that a class can no longer be loaded.
      */
     private void awaitShutdown(CountDownLatch done) throws InterruptedException {
-        boolean over;
+        boolean completed;
         do {
-            over = done.await(server.maxShutdownNanos(), TimeUnit.NANOSECONDS);
-        } while (!over && isStreaming());
+            completed = done.await(server.maxShutdownNanos(), TimeUnit.NANOSECONDS);
+        } while (!completed && isStreaming());
     }
 
-    /** Whether a body is still streamed; no, where the loop does not say in time. */
+    /**
+     * Returns whether a body is still being streamed; false where the loop does not answer in time.
+     */
     private boolean isStreaming() throws InterruptedException {
         CountDownLatch streaming = new CountDownLatch(1);
         loop.run(
--- a/daemon/src/main/java/cedarrudder/program/ReplicaWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/ReplicaWiring.java
@@ -26,9 +26,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Makes the optional subsystems of a proxy from its configuration and the operator's file, and
- * checks the one against the other. Where the operator's file has no table for a subsystem, it is
- * null.
+ * Creates the optional subsystems of a proxy from its configuration and the operator's file, and
+ * checks each against the other. A subsystem is null where the operator's file has no table for it.
  */
 final class ReplicaWiring {
 
@@ -43,9 +42,9 @@
     private final Logger log;
 
     /**
-     * Wiring of one replica.
+     * Creates the wiring of one replica.
      *
-     * @param wallClock what the machine's clock says, in milliseconds
+     * @param wallClock the machine's clock, in milliseconds
      * @param history null where none is written
      */
     ReplicaWiring(
@@ -66,7 +65,7 @@
     }
 
     /**
-     * The budgets of this tier.
+     * Returns the budgets of this tier.
      *
      * @throws IllegalArgumentException where they don't fit the site
      */
@@ -88,13 +87,14 @@
         return new Budgets(
                 settings.withDefaultHop(hop),
                 site.module(),
-                // Not the balancer's own numbers, so that neither's draws tell the other's.
+                // Separate from the balancer's random numbers, so that neither sequence can be
+                // predicted from the other.
                 new SplittableRandom(configuration.seed()).split(),
                 new BudgetEventLogger(log));
     }
 
     /**
-     * Membership of this tier's replicas.
+     * Returns the membership of this tier's replicas.
      *
      * @throws IllegalArgumentException where the configuration names no peers
      */
@@ -127,7 +127,7 @@
     }
 
     /**
-     * Draining by policies.
+     * Returns the draining by policies.
      *
      * @throws IllegalArgumentException where a policy names a zone that the site does not have
      */
@@ -167,12 +167,12 @@
     }
 
     /**
-     * What replicas of this tier decide together.
+     * Returns the coordination among the replicas of this tier.
      *
-     * @param failover null: zones don't serve one another
+     * @param failover null: no failover between zones
      * @param drains null: endpoints are not drained by policies
-     * @param capacity what route table this replica has room for beside a given one
-     * @param setDraining takes the endpoints that are drained, whenever that changes
+     * @param capacity returns the route tables that this replica can load beside a given one
+     * @param setDraining receives the endpoints that are being drained, whenever that changes
      * @throws IllegalArgumentException where the settings don't fit the site
      */
     CoordinationWiring coordination(
