--- a/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
@@ -12,7 +12,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code adapter}: the daemon's decisions on the simulator's wire, standard input and output. */
+/**
+ * Implements {@code adapter}: serves the daemon's decisions in the simulator's wire format on
+ * standard input and output.
+ */
 @Command(
         name = "adapter",
         description =
@@ -32,7 +35,7 @@
     @Option(
             names = {"-h", "--help"},
             usageHelp = true,
-            description = "Says this.")
+            description = "Shows this help.")
     private boolean help;
 
     @Override
--- a/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
+++ b/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
@@ -9,27 +9,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes lines on a thread of its own. This avoids a reader of standard error that has stopped
- * reading, or reads slowly: whoever writes to a full pipe stands still until there is room, and the
- * event loop must not.
+ * Writes lines on a thread of its own. A writer to a full pipe blocks until there is space, and the
+ * event loop must not block where the reader of standard error has stopped or reads slowly.
  *
- * <p>Lines may come from any thread; those for which there is no room are left out. Cost: a line's
- * reference in a queue of fixed size.
+ * <p>Lines may come from any thread; lines that do not fit into the queue are dropped. Each line
+ * costs one reference in a queue of fixed size.
  */
 final class AsyncLogWriter {
 
-    /** Lines that wait to be written, at most: some 100 KB. */
+    /** The maximum number of queued lines: some 100 KB. */
     static final int MAX_WAITING_LINES = 256;
 
     /**
-     * A longer line that the program itself did not make, such as a fault's of a library, is cut
-     * there.
+     * The length at which a line that the program did not produce itself, such as a library's
+     * fault, is truncated.
      */
     private static final int MAX_LINE_BYTES = 1024;
 
     /**
-     * How long the end may wait for the last lines to be read, in milliseconds; all answers are
-     * out.
+     * The time, in milliseconds, that the shutdown waits for the last lines to be read; all
+     * responses have been sent by then.
      */
     private static final long STOP_TIMEOUT_MILLIS = 200;
 
@@ -43,8 +42,10 @@
     }
 
     /**
-     * @param name the thread's
-     * @param max lines that wait, at most
+     * Creates a writer and starts its thread.
+     *
+     * @param name the name of the thread
+     * @param max the maximum number of queued lines
      */
     AsyncLogWriter(PrintStream out, String name, int max) {
         lines = new ArrayBlockingQueue<>(max);
@@ -54,8 +55,8 @@
     }
 
     /**
-     * One that takes the place of the process's standard error, so that nothing that is written
-     * there from now on, by whomever, stands still.
+     * Returns a writer that replaces the standard error of the process, so that nothing written
+     * there from now on, by any code, blocks.
      */
     static AsyncLogWriter replacingStandardError() {
         AsyncLogWriter writer = new AsyncLogWriter(System.err);
@@ -63,14 +64,14 @@
         return writer;
     }
 
-    /** Takes a line, or says that there is no room for it. */
+    /** Queues a line; returns false if the queue is full. */
     boolean offer(String line) {
         return lines.offer(line);
     }
 
     /**
-     * Returns once all that was taken is written, or nobody has read it for a while. From any
-     * thread.
+     * Returns once all queued lines are written, or once the timeout expires because they are not
+     * read. May be called from any thread.
      */
     void stop() {
         stopping = true;
@@ -88,7 +89,7 @@
             try {
                 line = stopping ? lines.poll() : lines.take();
             } catch (InterruptedException e) {
-                continue; // to look whether this is the end
+                continue; // to check whether the writer is stopping
             }
             if (line == null) {
                 stopped.countDown();
@@ -97,15 +98,14 @@
             try {
                 out.println(line);
             } catch (OutOfMemoryError e) {
-                // This line is lost: this avoids a log that is silent from then on, for months
-                // maybe.
+                // This line is lost, but the thread must not end: the log would stay silent from
+                // then on, maybe for months.
             }
         }
     }
 
     /**
-     * What is written as bytes, cut into lines; the stream in front of it sees to one thread at a
-     * time.
+     * Splits the bytes written into lines; the stream in front of it admits one thread at a time.
      */
     private final class LineSplitter extends OutputStream {
         private final byte[] line = new byte[MAX_LINE_BYTES];
--- a/daemon/src/main/java/cedarrudder/program/BudgetEventLogger.java
+++ b/daemon/src/main/java/cedarrudder/program/BudgetEventLogger.java
@@ -4,7 +4,7 @@
 import cedarrudder.budget.HopPath;
 import cedarrudder.logging.Logger;
 
-/** What the log says of budgets. */
+/** Logs the events of budgets. */
 record BudgetEventLogger(Logger log) implements BudgetEvents {
 
     @Override
--- a/daemon/src/main/java/cedarrudder/program/CheckCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/CheckCommand.java
@@ -22,8 +22,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code check}: what is wrong with the operator's files, and what does not fit, with nothing
- * started.
+ * Implements {@code check}: reports what is wrong with operator's files and what does not fit,
+ * without starting anything.
  */
 @Command(
         name = "check",
@@ -76,7 +76,7 @@
     @Option(
             names = {"-h", "--help"},
             usageHelp = true,
-            description = "Says this.")
+            description = "Shows this help.")
     private boolean help;
 
     @Override
@@ -91,7 +91,7 @@
             try {
                 last = OperatorFile.read(file);
                 out.println(file + ": good");
-                tell(file, last.of(DrainsTable.DRAINS), out);
+                printOverlaps(file, last.of(DrainsTable.DRAINS), out);
             } catch (InvalidFileException e) {
                 e.problems().forEach(out::println);
                 code = ExitCode.SOFTWARE;
@@ -111,7 +111,7 @@
                 : ExitCode.SOFTWARE;
     }
 
-    /** A size as the virtual machine's flags have it; 0 where none is given. */
+    /** Parses a size in the form of the virtual machine's flags; returns 0 where none is given. */
     private long bytes(String option, String size) {
         if (size == null) {
             return 0;
@@ -129,8 +129,8 @@
                 << 10 * " kmg".indexOf(found.group(2).isEmpty() ? " " : found.group(2));
     }
 
-    /** Which of two policies binds endpoints that both are for. */
-    private static void tell(Path file, DrainsConfiguration drains, PrintWriter out) {
+    /** Prints which of two policies that apply to the same endpoints is stricter. */
+    private static void printOverlaps(Path file, DrainsConfiguration drains, PrintWriter out) {
         for (OverlappingPolicies both :
                 drains == null ? List.<OverlappingPolicies>of() : drains.both()) {
             out.println(
--- a/daemon/src/main/java/cedarrudder/program/Commands.java
+++ b/daemon/src/main/java/cedarrudder/program/Commands.java
@@ -9,8 +9,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line. Exit codes: 0 done, 1 failed, 2 bad usage, which one line on standard error
- * explains before the usage.
+ * The command line. The exit code is 0 on success, 1 on failure and 2 on wrong usage, which one
+ * line on standard error explains before the usage text.
  */
 @Command(
         name = "cedarrudder",
@@ -29,10 +29,10 @@
     @Option(
             names = {"-h", "--help"},
             usageHelp = true,
-            description = "Says this.")
+            description = "Shows this help.")
     private boolean help;
 
-    /** Carries out the command that the arguments name and returns the exit code. */
+    /** Runs the command that the arguments name and returns the exit code. */
     static int run(String... args) {
         return new CommandLine(new Commands())
                 .setCaseInsensitiveEnumValuesAllowed(true)
--- a/daemon/src/main/java/cedarrudder/program/DrainsPage.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainsPage.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.function.LongFunction;
 
-/** The drains, as operators read them: one JSON object. */
+/** The page that reports the drains to operators: one JSON object. */
 final class DrainsPage {
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -23,10 +23,11 @@
     private DrainsPage() {}
 
     /**
-     * Writes it.
+     * Returns the page.
      *
-     * @param progress null where this process takes no part
-     * @param node the id of an endpoint by its number, or null where it is not listed
+     * @param progress null where this process does not take part in the agreement
+     * @param node returns the id of an endpoint by its number, or null where the endpoint is not
+     *     listed
      */
     static byte[] write(Progress progress, LongFunction<String> node) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -38,7 +39,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // an array in memory fails nobody
+            throw new UncheckedIOException(e); // writing into memory does not fail
         }
         return out.toByteArray();
     }
--- a/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointAdministration.java
@@ -13,12 +13,14 @@
 import java.util.Set;
 
 /**
- * Shows the forwarder the endpoint list with the operators' overrides laid over it, and carries
- * those out. It belongs to the event loop.
+ * Passes the endpoint list, with the operators' overrides applied, to the forwarder, and carries
+ * out changes of these overrides. Belongs to the event loop.
  */
 final class EndpointAdministration {
 
-    /** How often an endpoint that was put back is probed, and how many times. */
+    /**
+     * The interval at which an endpoint is probed after it is enabled again or its drain has ended.
+     */
     private static final long PROBE_INTERVAL_NANOS = 1_000_000_000L;
 
     private static final int PROBES_AFTER_RETURN = 5;
@@ -38,7 +40,7 @@
         return overrides;
     }
 
-    /** A list came from discovery, or changes to it. */
+    /** Applies a full list or changes of it from discovery. */
     void onEndpoints(EndpointListKind kind, EndpointList list) {
         List<NamedEndpoint> named =
                 list.nodes().stream()
@@ -47,26 +49,29 @@
         forwarder.endpointsUpdated(kind, overrides.updateListed(kind, named));
     }
 
-    /** An operator disables an endpoint; without effect where it is disabled. */
+    /** Disables an endpoint; has no effect where it is disabled already. */
     void disable(String name) {
         if (!overrides.disabled().contains(name)) {
             overrides.disable(name);
             log.info("endpoint.disabled").with("endpoint", name).write();
-            show(name);
+            publish(name);
         }
     }
 
-    /** An operator enables an endpoint; without effect where it is not disabled. */
+    /** Enables an endpoint; has no effect where it is not disabled. */
     void enable(String name) {
         if (overrides.disabled().contains(name)) {
             overrides.enable(name, loop.now());
             log.info("endpoint.enabled").with("endpoint", name).write();
-            show(name);
+            publish(name);
             probe(name, PROBES_AFTER_RETURN);
         }
     }
 
-    /** These endpoints are drained in common; those that no longer are come back. */
+    /**
+     * Sets the endpoints that all replicas drain; endpoints that are no longer among them return to
+     * service.
+     */
     void setDraining(Set<Long> endpoints) {
         for (String name : overrides.setDraining(endpoints, loop.now())) {
             if (overrides.effectiveEndpoint(name).status() == EndpointStatus.READY) {
@@ -74,13 +79,13 @@
             } else {
                 log.info("endpoint.drain_started").with("endpoint", name).write();
             }
-            show(name);
+            publish(name);
             probe(name, PROBES_AFTER_RETURN);
         }
     }
 
-    /** The balancer is to see an endpoint anew, where it is listed. */
-    private void show(String name) {
+    /** Passes the current state of an endpoint to the balancer, where the endpoint is listed. */
+    private void publish(String name) {
         Endpoint entry = overrides.effectiveEndpoint(name);
         if (entry != null) {
             forwarder.endpointsUpdated(EndpointListKind.DELTA, List.of(entry));
@@ -88,9 +93,9 @@
     }
 
     /**
-     * Probes an endpoint that is back now and for a while, since it may still be starting. It would
-     * else stand idle: the balancer sends mostly to endpoints whose load it knows, and with few
-     * requests it probes few of them.
+     * Probes an endpoint that returned to service now and several more times, since it may still be
+     * starting. Otherwise it would stay idle: the balancer sends mostly to endpoints whose load it
+     * knows, and with few requests it probes few of them.
      */
     private void probe(String name, int times) {
         Endpoint entry = overrides.effectiveEndpoint(name);
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -26,18 +26,18 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Tells what a list of endpoints takes of a process with given limits, and whether it fits. */
+/** Reports what a list of endpoints needs of a process with given limits, and whether it fits. */
 final class EndpointListCheck {
 
     private static final String LIST = "servers";
 
     /**
-     * The collector keeps a space free for what survives: of a heap's maximum one part of this
-     * many.
+     * The fraction of the heap's maximum, as 1 in this many, that the collector reserves for
+     * surviving objects.
      */
     private static final int SURVIVORS = 30;
 
-    /** What a file has. */
+    /** The endpoint list in a file, and the configuration around it; null where there is none. */
     private record Read(JsonObject list, JsonObject configuration) {}
 
     private final ObjectLayout layout = MachineLayout.read();
@@ -47,7 +47,9 @@
     private final PrintWriter out;
 
     /**
-     * @param limits with the heap's maximum as the virtual machine's flag gives it
+     * Creates a check.
+     *
+     * @param limits with the heap's maximum as the virtual machine's flag states it
      */
     EndpointListCheck(OperatorFile operator, ProcessLimits limits, PrintWriter out) {
         this.operator = operator;
@@ -61,10 +63,10 @@
     }
 
     /**
-     * Writes the terms and the verdicts.
+     * Prints the memory terms and the verdicts.
      *
-     * @param before the list that is held when the other comes; null: none is
-     * @return whether all fits, at once or in steps
+     * @param before the list that is loaded when the new one arrives; null: none
+     * @return whether all endpoints fit, at once or in steps
      */
     boolean check(Path file, Path before) {
         Read files;
@@ -121,7 +123,7 @@
         return String.format("%-8s%8s%14s%14s%10s%13s", cells);
     }
 
-    /** Whether the endpoints fit into their share of the heap. */
+    /** Returns whether the endpoints fit into their fraction of the heap. */
     private boolean nodes(
             ProcessShape shape, EndpointListShape list, JsonObject listObject, JsonObject held) {
         FootprintSettings set = operator.of(FootprintTable.FOOTPRINT);
@@ -172,7 +174,9 @@
         return ids;
     }
 
-    /** Whether the process fits with all clients, channels and bodies that it may come to have. */
+    /**
+     * Returns whether the process fits with the maximum numbers of clients, connections and bodies.
+     */
     private boolean process(ProcessShape shape) {
         ProcessFootprint.Verdict verdict = replica.judge(shape, limits);
         out.println(
@@ -195,7 +199,7 @@
                         : needed - capacity + " too many");
     }
 
-    /** A list as discovery tells it, or a configuration with the list that it starts with. */
+    /** Reads a list in the form that discovery sends, or a configuration with its initial list. */
     private static Read read(Path file) {
         JsonObject json;
         try {
--- a/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
+++ b/daemon/src/main/java/cedarrudder/program/FileStableStorage.java
@@ -24,14 +24,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a replica must not forget, in one file: a head, and a batch for each sync, which has all
- * that was written since the one before. A batch counts whole or not at all. What follows the last
- * whole one is cut off where it is the rest of a write that did not end; else the file is refused,
- * set aside, and the replica counts as one that forgot.
+ * Stores the durable state of a replica in one file: a header, and a batch for each sync with all
+ * records written since the previous one. A batch is applied as a whole or not at all. What follows
+ * the last complete batch is cut off if it is the rest of an interrupted write; otherwise the file
+ * is rejected and set aside, and the replica counts as one that lost its state.
  *
- * <p>Big-endian. Head: {@value #MAGIC}, version (4), the replica (4), how many there may be (4),
- * checksum (4). Batch: length (4), its checksum (4), this many bytes, their checksum (4). Checksums
- * are CRC32C. It belongs to the loop's thread, which waits for the disk once an event at most.
+ * <p>Big-endian. Header: {@value #MAGIC}, version (4), the replica (4), the maximum number of
+ * replicas (4), checksum (4). Batch: length (4), its checksum (4), this many bytes, their checksum
+ * (4). Checksums are CRC32C. Belongs to the loop's thread, which waits for the disk at most once an
+ * event.
  */
 final class FileStableStorage implements StableStorage, Closeable {
 
@@ -46,17 +47,17 @@
     private static final int FRAME_BYTES = BATCH_HEADER_BYTES + Integer.BYTES;
 
     /**
-     * The file is written anew once it is larger than this, and than four times what it has to
-     * hold.
+     * The minimum size of a file that is compacted; the file must also have grown to four times the
+     * size of its last compaction.
      */
     private static final long MIN_COMPACTION_BYTES = 1 << 20;
 
     private static final int COMPACTION_FACTOR = 4;
 
-    /** No batch is larger: a snapshot and all entries that may be open are less. */
+    /** Upper limit of a batch: a snapshot and all entries that may be uncommitted need less. */
     private static final int MAX_BATCH_BYTES = 16 << 20;
 
-    /** Why a file is no good, and where. */
+    /** Thrown for a file that can't be read; states the reason and the position. */
     private static final class CorruptFileException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -78,7 +79,8 @@
     private Recovered recovered;
 
     /**
-     * Opens what an earlier process of this replica left in a folder, or begins with nothing.
+     * Opens the state that an earlier process of this replica stored in a folder, or starts with
+     * none.
      *
      * @throws UncheckedIOException if the folder can't be used, or another process uses it
      */
@@ -148,7 +150,7 @@
 
     // ---- reading ----
 
-    /** Applies all complete batches; returns where they end. */
+    /** Applies all complete batches; returns the offset at which they end. */
     private long replay(ByteBuffer in) throws CorruptFileException {
         checkHeader(in);
         while (in.hasRemaining()) {
@@ -174,7 +176,7 @@
     private void checkHeader(ByteBuffer in) throws CorruptFileException {
         if (in.remaining() < HEADER_BYTES) {
             throw new CorruptFileException(
-                    0, in.remaining() + " bytes", "a head of " + HEADER_BYTES);
+                    0, in.remaining() + " bytes", "a header of " + HEADER_BYTES);
         }
         byte[] magic = new byte[MAGIC.length()];
         in.get(magic);
@@ -182,17 +184,15 @@
             throw new CorruptFileException(0, "another kind of file", MAGIC);
         }
         check(8, "version", in.getInt(), VERSION);
-        check(12, "a file of copy", in.getInt(), replica);
-        check(16, "a tier of copies", in.getInt(), replicas);
+        check(12, "a file of replica", in.getInt(), replica);
+        check(16, "a tier of replicas", in.getInt(), replicas);
         if (in.getInt() != checksum(in.array(), 0, HEADER_BYTES - Integer.BYTES)) {
             throw new CorruptFileException(
-                    20, "a head whose checksum does not fit", "one that does");
+                    20, "a header whose checksum does not fit", "one that does");
         }
     }
 
-    /**
-     * The length of the batch that is next; -1 where it is the rest of a write that did not end.
-     */
+    /** Returns the length of the next batch; -1 where it is the rest of an interrupted write. */
     private static int completeBatchLength(ByteBuffer in) throws CorruptFileException {
         int at = in.position();
         if (in.remaining() < FRAME_BYTES || isZeroFilled(in.array(), at)) {
@@ -228,8 +228,8 @@
     }
 
     /**
-     * Whether only zeros are left: the file had become longer when the process ended, and nothing
-     * more.
+     * Returns whether only zeros are left: the file had been extended when the process ended, but
+     * not written.
      */
     private static boolean isZeroFilled(byte[] bytes, int from) {
         for (int i = from; i < bytes.length; i++) {
@@ -315,7 +315,7 @@
         return out.flip();
     }
 
-    /** Writes all that is held into a file that takes the place of the one that is there. */
+    /** Writes the whole state into a new file that replaces the current one. */
     private void rewrite() throws IOException {
         Path next = folder.resolve(NEXT_FILE);
         FileChannel made =
@@ -337,7 +337,7 @@
         made.force(true);
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true); // the file's new name is on the disk too
+            names.force(true); // makes the new name of the file durable
         }
         if (channel != null) {
             channel.close();
@@ -357,7 +357,7 @@
         return header.flip();
     }
 
-    /** Another process may use the folder from now on. */
+    /** Closes the files; another process may use the folder from now on. */
     @Override
     public void close() {
         try {
--- a/daemon/src/main/java/cedarrudder/program/JsonLineWriter.java
+++ b/daemon/src/main/java/cedarrudder/program/JsonLineWriter.java
@@ -11,8 +11,9 @@
 import java.util.Locale;
 
 /**
- * Lines for programs: one JSON object each, with {@code time} (ISO 8601, UTC), {@code seconds}
- * since the start, {@code level}, {@code event}, and the event's fields, whole numbers as numbers.
+ * Writes log lines for programs: one JSON object each, with {@code time} (ISO 8601, UTC), {@code
+ * seconds} since the start, {@code level}, {@code event}, and the fields of the event, whole
+ * numbers as numbers.
  */
 final class JsonLineWriter implements LineWriter {
 
@@ -21,12 +22,14 @@
     private StringWriter text;
     private JsonGenerator line;
 
-    /** What a step of the generator throws, though a writer into memory doesn't. */
+    /**
+     * A step of the generator, which declares an exception that writing into memory does not throw.
+     */
     private interface Step {
         void run() throws IOException;
     }
 
-    private static void must(Step step) {
+    private static void unchecked(Step step) {
         try {
             step.run();
         } catch (IOException e) {
@@ -36,7 +39,7 @@
 
     @Override
     public void begin(long millis, Level level, String event) {
-        must(
+        unchecked(
                 () -> {
                     text = new StringWriter();
                     line = JSON.createGenerator(text);
@@ -50,17 +53,17 @@
 
     @Override
     public void field(String name, String value) {
-        must(() -> line.writeStringField(name, value));
+        unchecked(() -> line.writeStringField(name, value));
     }
 
     @Override
     public void field(String name, long value) {
-        must(() -> line.writeNumberField(name, value));
+        unchecked(() -> line.writeNumberField(name, value));
     }
 
     @Override
     public String end() {
-        must(
+        unchecked(
                 () -> {
                     line.writeEndObject();
                     line.close();
--- a/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
+++ b/daemon/src/main/java/cedarrudder/program/LocalTrafficView.java
@@ -18,7 +18,7 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
 
-/** What this replica sees of endpoints and calls. On the loop's thread. */
+/** The endpoints and the traffic that this replica observes. Runs on the loop's thread. */
 final class LocalTrafficView {
 
     private final SiteSettings site;
@@ -29,7 +29,9 @@
     private final LongSupplier wallClock;
 
     /**
-     * @param wallClock the machine's, in milliseconds since 1970
+     * Creates the view.
+     *
+     * @param wallClock the machine's clock, in milliseconds since 1970
      */
     LocalTrafficView(
             SiteSettings site,
@@ -46,7 +48,9 @@
         this.wallClock = wallClock;
     }
 
-    /** What discovery lists, each with whether it serves as far as this replica can tell. */
+    /**
+     * Returns the endpoints that discovery lists, each with its status as this replica observes it.
+     */
     Collection<DrainableNode> nodes() {
         int tier = site.module().tier();
         String name = nameAt(site.tiers(), tier);
@@ -79,12 +83,12 @@
         return index >= 0 && index < names.size() ? names.get(index) : "";
     }
 
-    /** Attempts in flight, by endpoint. */
+    /** Returns the attempts in flight, by endpoint. */
     Map<Long, Integer> attemptsInFlight() {
         return connections.attemptsInFlight();
     }
 
-    /** The numbers of listed endpoints that are left out here by hand. */
+    /** Returns the numbers of listed endpoints that operators have disabled here. */
     Set<Long> disabled() {
         return overrides.disabled().stream()
                 .filter(overrides.listed()::containsKey)
@@ -92,7 +96,7 @@
                 .collect(Collectors.toSet());
     }
 
-    /** What became of all calls since the start. */
+    /** Returns the outcomes of all requests since the start. */
     TrafficSample requestTotals() {
         long served = 0;
         long refused = 0;
@@ -102,7 +106,7 @@
             refused += metrics.ended(i, End.REJECTED);
             failed += metrics.ended(i, End.FAILED);
         }
-        // Differences are what counts: these may pass the largest number and begin anew.
+        // Only differences are used: these counters may overflow and start again.
         return new TrafficSample(
                 (int) (served + refused + failed),
                 (int) refused,
@@ -110,7 +114,7 @@
                 (int) metrics.deadlinesMissed());
     }
 
-    /** What the machine's clock says; milliseconds since 1970. */
+    /** Returns the machine's time, in milliseconds since 1970. */
     long wallClock() {
         return wallClock.getAsLong();
     }
--- a/daemon/src/main/java/cedarrudder/program/MachineLayout.java
+++ b/daemon/src/main/java/cedarrudder/program/MachineLayout.java
@@ -6,10 +6,7 @@
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/**
- * How this virtual machine lays out objects, and what it may take, by what it says of its own
- * settings.
- */
+/** The object layout and the limits of this virtual machine, read from its own settings. */
 final class MachineLayout {
 
     private MachineLayout() {}
@@ -24,7 +21,9 @@
     }
 
     /**
-     * @param memory bytes of the machine's memory that the process may take; 0: no bound is known
+     * Returns the limits of this process.
+     *
+     * @param memory bytes of the machine's memory that the process may use; 0: no limit is known
      */
     static ProcessLimits limits(long memory) {
         HotSpotDiagnosticMXBean machine =
--- a/daemon/src/main/java/cedarrudder/program/Main.java
+++ b/daemon/src/main/java/cedarrudder/program/Main.java
@@ -4,17 +4,18 @@
 import cedarrudder.simulator.SimulatorHost;
 
 /**
- * The program. Its commands are {@code serve}, {@code adapter}, {@code check} and {@code version}.
+ * The entry point of the program. Its commands are {@code serve}, {@code adapter}, {@code check}
+ * and {@code version}.
  *
- * <p>This avoids paying for what a start doesn't need: {@code serve} and {@code adapter} alone,
- * which the platform starts in many replicas on shared cores, go past the reader of arguments, and
- * none of its classes are loaded.
+ * <p>{@code serve} and {@code adapter} without arguments, which the platform starts in many
+ * replicas on shared cores, bypass the argument parser, so that none of its classes are loaded and
+ * the start costs no more than needed.
  */
 public final class Main {
 
     private Main() {}
 
-    /** Runs the command that the arguments name, and ends with its exit code. */
+    /** Runs the command that the arguments name, and exits with its exit code. */
     public static void main(String[] args) throws InterruptedException {
         int code;
         if (args.length == 1 && args[0].equals("adapter")) {
@@ -24,7 +25,7 @@
         } else {
             code = Commands.run(args);
         }
-        // Where all is well the program ends with its last thread, which the proxy's loop is.
+        // On success the program ends with its last thread, which is the proxy's loop.
         if (code != 0) {
             System.exit(code);
         }
--- a/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
+++ b/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
@@ -13,20 +13,19 @@
 import java.util.stream.Stream;
 
 /**
- * What operators have asked for and what outlives the process: a folder with an empty file for each
- * endpoint that is disabled, and one while clients are sent away. Each change is one creation or
- * deletion, so a kill at any moment leaves the state before it or after it, and two processes see
- * the same.
+ * The operators' requests that outlive the process: a folder with an empty file for each disabled
+ * endpoint, and one while the proxy is drained. Each change is one creation or deletion, so a kill
+ * at any moment leaves the state before the change or after it, and two processes see the same.
  */
 final class PersistedAdminState {
 
     private static final String DISABLED_PREFIX = "disabled-";
     private static final String DRAINED_FILE = "drained";
 
-    /** Longer names are more than a folder takes. */
+    /** Longer names exceed what a folder supports. */
     private static final int MAX_NAME_LENGTH = 200;
 
-    /** What the folder says. */
+    /** The content of the folder. */
     record AdminState(Set<String> disabled, boolean drained) {}
 
     private final Path folder;
@@ -36,9 +35,11 @@
     }
 
     /**
-     * Reads the folder. An IOException: it can't be read, or isn't there, though {@link
-     * ProcessHandover} has made it. This avoids bans that are taken back because somebody removed
-     * the folder.
+     * Reads the folder.
+     *
+     * @throws IOException if the folder can't be read, or is missing although {@link
+     *     ProcessHandover} has created it: disabled endpoints must not be enabled because the
+     *     folder was removed
      */
     AdminState read() throws IOException {
         Set<String> disabled = new HashSet<>();
@@ -89,7 +90,7 @@
         try {
             Files.createFile(folder.resolve(name));
         } catch (FileAlreadyExistsException e) {
-            // it is kept already
+            // it is persisted already
         }
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -20,20 +20,24 @@
 import java.util.function.Consumer;
 
 /**
- * What this process takes beside what it may, where the operator's file has {@code [footprint]}.
+ * Estimates the memory and descriptors that this process needs, against its limits; used where the
+ * operator's file has {@code [footprint]}.
  */
 final class ProcessMemoryEstimate {
 
-    /** The collector compacts all of the heap at each fourth of its collections. */
+    /** The collector compacts the whole heap at every fourth of its collections. */
     private static final int MEASURING_COLLECTIONS = 4;
 
-    /** What a start still adds: listeners, and the classes that its warm-up loads. */
+    /**
+     * The bytes that the rest of the start still adds: listeners, and the classes that the warm-up
+     * loads.
+     */
     private static final long REMAINING_START_BYTES = 235_000;
 
-    /** What a process holds beside its endpoints. */
+    /** The load of a process beside its endpoints. */
     record Load(int clients, int connections, int openRequests, long bufferedBytes) {}
 
-    /** Tells what the process holds now. */
+    /** Supplies the current load of the process. */
     interface LoadSource {
         Load load();
     }
@@ -49,7 +53,10 @@
     private String currentLoad;
 
     /**
-     * @param further this many descriptors more than usual are open for good
+     * Creates an estimate.
+     *
+     * @param further the descriptors that are open permanently beyond the usual number
+     * @param now supplies the current load
      */
     ProcessMemoryEstimate(
             SiteSettings site,
@@ -88,8 +95,8 @@
     }
 
     /**
-     * Bytes of the heap for endpoints and their lists: a share of it, and no more than is left
-     * beside all that the process may come to hold.
+     * Returns the bytes of the heap for endpoints and their lists: a fraction of the heap, and no
+     * more than is left beside the maximum load of the process.
      */
     long capacity(double share, Load max) {
         return Math.min(
@@ -98,9 +105,9 @@
     }
 
     /**
-     * From now on what was there before the first list is what this process says, after a
-     * collection. To be called in the loop's first turn, when nobody waits. This avoids an estimate
-     * that knows nothing of the other tables of the operator's file.
+     * Replaces the baseline by what this process uses after a collection, without the first list,
+     * since the default baseline does not include the other tables of the operator's file. Must be
+     * called in the loop's first iteration, when no request waits.
      */
     void measure(EndpointListShape held) {
         long known =
@@ -117,12 +124,15 @@
         isMeasured = true;
     }
 
-    /** Whether estimates are by what this process has measured. */
+    /** Returns whether estimates are based on a measurement of this process. */
     boolean isMeasured() {
         return isMeasured;
     }
 
-    /** Bytes that live, as the collector saw them: what is allocated since does not count. */
+    /**
+     * Returns the bytes that were live at the last collection; what has been allocated since does
+     * not count.
+     */
     static long liveHeapBytes() {
         System.gc();
         return ManagementFactory.getMemoryPoolMXBeans().stream()
@@ -134,7 +144,7 @@
                 .sum();
     }
 
-    /** What operators see of it; null before the first list. */
+    /** Returns the estimate that operators see; null before the first list. */
     MetricsPage.Estimate metrics(EndpointListReader gate) {
         if (gate.last() == null) {
             return null;
@@ -149,14 +159,16 @@
                 capacity(null, gate));
     }
 
-    /** What this replica can load of route tables, beside the endpoints that it holds. */
+    /**
+     * Returns what this replica can load of route tables, beside the endpoints that it has loaded.
+     */
     RouteTableCapacity capacity(RouteTable held, EndpointListReader gate) {
         return tables.capacity(held, gate.left(), gate.max());
     }
 
     /**
-     * Writes a verdict for the judge of many replicas: of the whole list, and of what is loaded of
-     * it.
+     * Records the verdict for a checker that reads the histories of many replicas: for the whole
+     * list, and for the part of it that is loaded.
      */
     void recordVerdict(Judged list, EventRecorder history) {
         currentLoad = "list " + ++verdicts;
@@ -182,8 +194,8 @@
     }
 
     /**
-     * What was judged last is loaded: says so, and what the process then holds, on a thread of its
-     * own.
+     * Records that the list judged last is loaded, and then, measured on a thread of its own, the
+     * heap that the process uses.
      */
     void recordHeld(EventRecorder history, Consumer<Runnable> loop) {
         String load = currentLoad;
--- a/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyAdminOperations.java
@@ -15,13 +15,15 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** What operators ask for at the administrative address, carried out by the parts of a proxy. */
+/**
+ * Carries out the requests of operators at the administrative address with the parts of a proxy.
+ */
 final class ProxyAdminOperations implements AdminOperations {
 
     /**
-     * The parts of a proxy that operators reach.
+     * The parts of a proxy that the operations use.
      *
-     * @param ready whether the proxy has a list, is warm and listens for clients
+     * @param ready whether the proxy has a list, is warmed up and listens for clients
      * @param estimate null where the operator's file has no {@code [footprint]}
      * @param listReader null where the operator's file has no {@code [footprint]}
      * @param coordination null where the operator's file has no {@code [agreement]}
@@ -84,7 +86,7 @@
                 : DrainsPage.write(parts.drains().progress(), overrides::name);
     }
 
-    // ---- what replicas decide together
+    // ---- coordination among replicas
 
     @Override
     public OperationResult formGroup() {
@@ -124,7 +126,7 @@
         return index >= 0 && names.indexOf(name) == index;
     }
 
-    // ---- endpoints by hand
+    // ---- endpoints disabled by operators
 
     @Override
     public OperationResult disable(String name) {
@@ -142,7 +144,7 @@
         return persistThen(state -> state.enable(name), () -> parts.endpoints().enable(name));
     }
 
-    // ---- draining by hand
+    // ---- draining by operators
 
     @Override
     public OperationResult drain() {
--- a/daemon/src/main/java/cedarrudder/program/ProxyConfiguration.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyConfiguration.java
@@ -10,11 +10,12 @@
 /**
  * The configuration of one proxy.
  *
- * @param admin where operators call, or null where they can't
- * @param peerListen where datagrams from other proxies arrive, or null where there are none
- * @param peersAll an address that reaches all of them, or null
- * @param memory bytes of the machine's memory that it may take; 0: nothing is said
- * @param known the list of endpoints as this proxy last had it, still as JSON
+ * @param admin the address at which operators connect, or null where there is none
+ * @param peerListen the address that receives datagrams from other proxies, or null where there are
+ *     none
+ * @param peersAll an address that reaches all peers, or null
+ * @param memory bytes of the machine's memory that the process may use; 0: no limit is stated
+ * @param known the list of endpoints that this proxy had last, still as JSON
  */
 record ProxyConfiguration(
         String name,
@@ -34,12 +35,16 @@
     private static final int MEGABYTE = 1 << 20;
 
     /**
-     * With fewer the process itself, discovery, one client and one endpoint have no room beside
-     * each other.
+     * With fewer descriptors there are not enough for the process itself, discovery, one client and
+     * one endpoint together.
      */
     private static final int MIN_SOCKETS = 8;
 
-    /** Reads the configuration file; an IllegalArgumentException says what is wrong with it. */
+    /**
+     * Parses the text of the configuration file.
+     *
+     * @throws IllegalArgumentException if the text is invalid; the message says why
+     */
     static ProxyConfiguration parse(String text) {
         JsonObject json = JsonObject.parse(text);
         return new ProxyConfiguration(
@@ -57,12 +62,15 @@
                 SettingsReader.read(json.child("settings")));
     }
 
-    /** How many descriptors a configuration allows. */
+    /** Returns the number of descriptors that a configuration allows. */
     static int sockets(JsonObject json) {
         return (int) json.child("limits").number("sockets", DEFAULT_SOCKETS, MIN_SOCKETS, MEGABYTE);
     }
 
-    /** The same, with the operators' address from the environment where that names one. */
+    /**
+     * Returns the configuration with the operators' address from the environment, where that is
+     * set.
+     */
     ProxyConfiguration withAdmin(String address) {
         return address == null || address.isEmpty()
                 ? this
@@ -81,7 +89,10 @@
                         site);
     }
 
-    /** The same without the list, for which a process that has read it needs no memory any more. */
+    /**
+     * Returns the configuration without the list, so that a process that has read the list needs no
+     * memory for it.
+     */
     ProxyConfiguration withoutKnown() {
         return new ProxyConfiguration(
                 name,
--- a/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
@@ -10,7 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The proxy as a process: its files, its signals and its end. */
+/** Runs the proxy as a process: its files, its signals and its end. */
 final class ProxyProcess {
 
     private static final int FAILED = 1;
@@ -20,8 +20,8 @@
     private ProxyProcess() {}
 
     /**
-     * Starts a proxy, which runs on after this returns 0; else the exit code, and one line says
-     * why, or one for each problem of the operator's file.
+     * Starts a proxy, which runs on after this method returns 0. Otherwise returns the exit code
+     * and prints one line with the reason, or one for each problem of the operator's file.
      */
     static int serve(ServeOptions options) throws InterruptedException {
         try {
@@ -56,23 +56,24 @@
     }
 
     /**
-     * Spares Netty what it does for larger programs. Each of these costs start-up time or memory,
-     * which count on one core: looking for a hardware address, sizing for all cores of the machine,
-     * watching for leaks, and trying logging libraries that are not there.
+     * Turns off work that Netty does for larger programs. Each of these costs start-up time or
+     * memory, which matter on one core: searching for a hardware address, sizing for all cores of
+     * the machine, leak detection, and trying logging libraries that are not present.
      */
     private static void configureNetty() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
         System.setProperty("io.netty.availableProcessors", "1");
         System.setProperty("io.netty.leakDetection.level", "disabled");
-        // Lets Netty count direct memory itself; the jar's manifest opens the package. The library
-        // would else sleep for half a second at each allocation where none is left.
+        // Lets Netty count direct memory itself; the jar's manifest opens the package. Otherwise
+        // the library would sleep for half a second at each allocation where none is left.
         System.setProperty("io.netty.tryReflectionSetAccessible", "true");
     }
 
     /**
-     * Takes over SIGHUP and SIGTERM, before anything listens. The virtual machine would end the
-     * process at both; at SIGTERM it ends once this hook has, and all that was taken is answered.
+     * Handles SIGHUP and SIGTERM, before anything listens. By default the virtual machine would end
+     * the process at both; at SIGTERM it ends once this hook has returned, when all accepted
+     * requests are answered.
      */
     private static void handleSignals(
             ProxyServer proxy, String file, ServeOptions options, AsyncLogWriter lines) {
@@ -100,11 +101,9 @@
     }
 
     /**
-     * Reads both files again. Each stands for itself: one that can't be used leaves all as it was
-     * that it sets, and keeps nothing from the other.
+     * Reads both files again. Each is applied on its own: a file that can't be used leaves its settings unchanged and does not affect the other file.
      *
-     * <p>They are read on the thread of the signal, since the loop would stand still meanwhile, and
-     * by one of these threads at a time ({@link ReloadSignal}).
+     * <p>The files are read on the thread of the signal, since the loop would block meanwhile, and by one such thread at a time ({@link ReloadSignal}).
      */
     private static void reload(ProxyServer proxy, String file, ServeOptions options) {
         proxy.reload(() -> readConfiguration(file));
@@ -118,8 +117,7 @@
     }
 
     /**
-     * Where this proxy keeps its state, by the address at which its clients find it: several
-     * proxies may share a folder for temporary files.
+     * Returns the folder in which this proxy persists its state, named after the address at which its clients connect: several proxies may share a folder for temporary files.
      */
     private static Path stateFolder(ProxyConfiguration configuration) {
         String folder = System.getenv("TMPDIR");
--- a/daemon/src/main/java/cedarrudder/program/ReloadSignal.java
+++ b/daemon/src/main/java/cedarrudder/program/ReloadSignal.java
@@ -3,20 +3,23 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Reads what SIGHUP asks for, one signal at a time, so that of two changes the later one counts. A
- * signal that comes while another one waits to be read adds nothing, which bounds a storm of them.
+ * Handles SIGHUP, one signal at a time, so that of two changes the later one counts. A signal that
+ * arrives while another one is pending has no further effect, which bounds a burst of them.
  * Thread-safe.
  */
 final class ReloadSignal {
 
-    /** Whether one came that nobody has begun to read for. */
+    /** Set while a signal has arrived for which no reload has begun. */
     private final AtomicBoolean pending = new AtomicBoolean();
 
-    /** A signal came; returns once it is read, or at once where an earlier one is yet to be. */
+    /**
+     * Reloads for a signal and returns once that is done; returns at once where an earlier signal
+     * is still pending.
+     */
     void onSignal(Runnable reload) {
         if (!pending.getAndSet(true)) {
             synchronized (this) {
-                pending.set(false); // first: what changes from here on is the next signal's
+                pending.set(false); // first: changes from here on belong to the next signal
                 reload.run();
             }
         }
--- a/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
+++ b/daemon/src/main/java/cedarrudder/program/RouteTablePage.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import java.util.function.LongFunction;
 
-/** What the replicas have agreed on, as operators read it: one JSON object. */
+/** The page that reports the agreed route table to operators: one JSON object. */
 final class RouteTablePage {
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -22,10 +22,11 @@
     private RouteTablePage() {}
 
     /**
-     * Writes it.
+     * Returns the page.
      *
      * @param zones the names of the zones by their numbers
-     * @param node the id of an endpoint by its number, or null where it is not listed
+     * @param node returns the id of an endpoint by its number, or null where the endpoint is not
+     *     listed
      */
     static byte[] write(ReplicaCoordinator fleet, List<String> zones, LongFunction<String> node) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -38,7 +39,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // an array in memory fails nobody
+            throw new UncheckedIOException(e); // writing into memory does not fail
         }
         return out.toByteArray();
     }
--- a/daemon/src/main/java/cedarrudder/program/ServeCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/ServeCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code serve}: the proxy. */
+/** Implements {@code serve}: runs the proxy. */
 @Command(
         name = "serve",
         description = "Runs the proxy that the file named by BALANCER_CONFIG describes.")
@@ -38,7 +38,7 @@
     @Option(
             names = {"-h", "--help"},
             usageHelp = true,
-            description = "Says this.")
+            description = "Shows this help.")
     private boolean help;
 
     @Override
--- a/daemon/src/main/java/cedarrudder/program/ServeOptions.java
+++ b/daemon/src/main/java/cedarrudder/program/ServeOptions.java
@@ -9,18 +9,20 @@
 import java.nio.file.Path;
 
 /**
- * What the command line of {@code serve} says; null for what it doesn't.
+ * The options of {@code serve} on the command line; null for those that are not given.
  *
  * @param operator the operator's file
- * @param form the form of the log, whatever that file says
- * @param level the level of the log, whatever that file says
+ * @param form the format of the log, which overrides that file
+ * @param level the level of the log, which overrides that file
  */
 record ServeOptions(Path operator, LogConfiguration.Form form, Level level) {
 
-    /** {@code serve} alone. */
+    /** The options of {@code serve} without arguments. */
     static final ServeOptions NONE = new ServeOptions(null, null, null);
 
-    /** Reads the operator's file, if there is one, and overrides what the command line does. */
+    /**
+     * Reads the operator's file, if there is one, and applies the overrides of the command line.
+     */
     OperatorFile read() throws InvalidFileException {
         OperatorFile read = operator == null ? OperatorFile.NONE : OperatorFile.read(operator);
         if (form == null && level == null) {
--- a/daemon/src/main/java/cedarrudder/program/Signals.java
+++ b/daemon/src/main/java/cedarrudder/program/Signals.java
@@ -4,9 +4,7 @@
 import java.lang.reflect.Proxy;
 import java.util.function.Consumer;
 
-/**
- * Signals that the platform's own interface has no place for. SIGTERM is a shutdown hook's affair.
- */
+/** Signals that the Java API has no support for. SIGTERM is handled by a shutdown hook. */
 final class Signals {
 
     private Signals() {}
@@ -14,8 +12,8 @@
     /**
      * Runs a task at each SIGHUP, on a thread of its own, in place of ending the virtual machine.
      *
-     * <p>By reflection, since the compiler warns of the class by its name and takes no word that it
-     * is meant; the balancer that holds it is open to all programs.
+     * <p>Uses reflection, since the compiler warns of the class by its name and the warning can't
+     * be suppressed; the module that contains the class is open to all programs.
      *
      * @param otherwise receives the reason where the virtual machine doesn't allow it
      */
@@ -38,7 +36,8 @@
                                     signal.getConstructor(String.class).newInstance("HUP"),
                                     handles);
             if (before == handler.getField("SIG_IGN").get(null)) {
-                // The virtual machine keeps to that, as under nohup, and says so only by this.
+                // The virtual machine leaves the signal ignored, as under nohup, and reports that
+                // only here.
                 otherwise.accept("it is ignored by whoever started this process");
             }
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
--- a/daemon/src/main/java/cedarrudder/program/StartupGate.java
+++ b/daemon/src/main/java/cedarrudder/program/StartupGate.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Whether clients may have come: the start asks before it listens at their address, the signal to
- * end before it waits for them, each on a thread of its own. Whoever asks first decides.
- * Thread-safe.
+ * Decides whether clients may have connected: the start calls {@link #join} before it listens on
+ * their address, and the shutdown signal calls {@link #end} before it waits for clients, each on a
+ * thread of its own. The first caller decides. Thread-safe.
  */
 final class StartupGate {
 
@@ -17,17 +17,23 @@
 
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
-    /** Clients are about to come; false where the process has been asked to end, and none may. */
+    /**
+     * Records that clients are about to connect; returns false where the process has been asked to
+     * end and must not accept any.
+     */
     boolean join() {
         return phase.compareAndSet(Phase.STARTING, Phase.JOINED);
     }
 
-    /** The process ends; true where clients may have come, who are owed their responses. */
+    /**
+     * Records that the process ends; returns true where clients may have connected and still wait
+     * for responses.
+     */
     boolean end() {
         return !phase.compareAndSet(Phase.STARTING, Phase.ENDED) && phase.get() == Phase.JOINED;
     }
 
-    /** The start has failed: nobody is owed anything. */
+    /** Records that the start has failed: no client waits for a response. */
     void abandon() {
         phase.set(Phase.ENDED);
     }
--- a/daemon/src/main/java/cedarrudder/program/StorageRecords.java
+++ b/daemon/src/main/java/cedarrudder/program/StorageRecords.java
@@ -16,7 +16,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The records of {@link FileStableStorage}, big-endian; the first byte of each says its kind. */
+/** The records of {@link FileStableStorage}, big-endian; the first byte of each is its kind. */
 final class StorageRecords {
 
     private static final byte HARD_STATE = 1;
@@ -75,7 +75,10 @@
         out.writeLong(from);
     }
 
-    /** All that a log holds, as the fewest records; none before the first hard state. */
+    /**
+     * Returns the whole content of a log as the minimum number of records; none before the first
+     * hard state.
+     */
     static byte[] all(StoredLog log) {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         if (log.hardState() == null) {
@@ -89,7 +92,7 @@
                 write(out, log.snapshot().index() + 1 + i, log.entries().get(i));
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // an array in memory fails nobody
+            throw new UncheckedIOException(e); // writing into memory does not fail
         }
         return records.toByteArray();
     }
@@ -99,8 +102,9 @@
     /**
      * Applies a batch of records.
      *
-     * @throws BufferUnderflowException if one is cut off
-     * @throws IllegalArgumentException if one is of no known kind, or follows none
+     * @throws BufferUnderflowException if a record is truncated
+     * @throws IllegalArgumentException if a record is of an unknown kind, or leaves a gap in the
+     *     log
      */
     static void apply(ByteBuffer in, StoredLog log) {
         while (in.hasRemaining()) {
@@ -155,11 +159,11 @@
         return new VoterSet(all);
     }
 
-    /** Appends an entry that must follow one that is there, or take its place. */
+    /** Appends an entry that must follow the last entry or replace one. */
     static void appendInOrder(StoredLog log, long index, LogEntry entry) {
         log.truncateFrom(index);
         if (index != log.nextIndex()) {
-            throw new IllegalArgumentException("an entry that follows none");
+            throw new IllegalArgumentException("an entry that leaves a gap in the log");
         }
         log.append(index, entry);
     }
--- a/daemon/src/main/java/cedarrudder/program/VersionCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/VersionCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code version}: the version of the build, and of the Java that runs it. */
+/** Implements {@code version}: prints the version of the build, and of the Java runtime. */
 @Command(name = "version", description = "Says which version this is, and which Java runs it.")
 final class VersionCommand implements Runnable {
 
@@ -14,7 +14,7 @@
     @Option(
             names = {"-h", "--help"},
             usageHelp = true,
-            description = "Says this.")
+            description = "Shows this help.")
     private boolean help;
 
     @Override
--- a/daemon/src/main/java/cedarrudder/program/Warmup.java
+++ b/daemon/src/main/java/cedarrudder/program/Warmup.java
@@ -31,32 +31,34 @@
 import java.util.function.BiPredicate;
 
 /**
- * Some requests from the proxy to itself before it says that it is ready, so that the code they run
- * through is loaded and partly compiled.
+ * Sends some requests from the proxy to itself before the proxy reports that it is ready, so that
+ * the code that handles requests is loaded and partly compiled.
  *
- * <p>This avoids the first clients meeting a program that takes milliseconds of its core for each
+ * <p>Otherwise the first clients would meet a program that needs milliseconds of its core for each
  * request: with all proxies of a machine starting at once, loops were up to 355 ms late and 31
- * requests found no answer in time.
+ * requests received no response in time.
  *
- * <p>They go out through a forwarder, a balancer and connections of their own, which are dropped,
- * and come in at the proxy's listener, where this answers them: they alone carry an id that nobody
- * else can know.
+ * <p>The requests are sent through a separate forwarder, balancer and connection pool, which are
+ * dropped afterwards, and arrive at the proxy's listener, where this class answers them: they are
+ * recognized by an id that nobody else can know.
  */
 final class Warmup {
 
-    /** This many in all: what they run through is the same code whatever the settings. */
+    /** The total number of requests; the code they exercise is the same whatever the settings. */
     private static final int REQUESTS = 100;
 
     /**
-     * This many are out at a time. This avoids waiting for the network most of the time until
-     * ready.
+     * The number of requests in flight, so that the warm-up does not mostly wait for the network.
      */
     private static final int PARALLEL_REQUESTS = 4;
 
-    /** Clients' first connections all come at once, so the way of a new one is taken often too. */
+    /**
+     * Limits the reuse of connections, since the first connections of clients all arrive at once:
+     * the code for a new connection has to run often too.
+     */
     private static final int REQUESTS_PER_CONNECTION = 3;
 
-    /** Readiness never waits longer than this for it. */
+    /** The maximum time for which the warm-up delays readiness. */
     private static final long TIMEOUT_NANOS = 3_000_000_000L;
 
     private static final long SELF_ENDPOINT = 1;
@@ -73,7 +75,9 @@
     private boolean finished;
 
     /**
-     * @param at where the proxy listens now, and nobody else does
+     * Creates the warm-up.
+     *
+     * @param at the address at which the proxy listens now, and no other process does
      */
     Warmup(
             ProxyEventLoop loop,
@@ -116,7 +120,7 @@
         forwarder.endpointsUpdated(EndpointListKind.FULL, List.of(self));
     }
 
-    /** A request of the first class, which costs nothing and changes nothing. */
+    /** Returns a request of the first class, which costs nothing and changes nothing. */
     private String requestText() {
         String kind = settings.classes().get(0).name();
         String method =
@@ -135,7 +139,7 @@
                 + "Req-Deadline-Ms: 1000\r\n\r\n";
     }
 
-    /** Begins; to be called on the loop. */
+    /** Starts the warm-up; must be called on the loop. */
     void start() {
         loop.at(loop.now() + TIMEOUT_NANOS, this::finish);
         for (int i = 0; i < PARALLEL_REQUESTS; i++) {
@@ -144,10 +148,10 @@
     }
 
     /**
-     * Answers a request if it is one of the warm-up's own, and keeps nothing of it but its id. To
-     * be asked for as long as the proxy lives: where the warm-up ends at its time, or a hedged
-     * request is out, bytes of a request may be read after its end. This avoids such a one going on
-     * to an endpoint, as was seen on a busy core.
+     * Returns a handler that answers a request if it is one of the warm-up's own; the handler
+     * retains only the id. It must stay installed as long as the proxy runs: after a timeout of the
+     * warm-up, or with a hedged request in flight, bytes of a request may be read after the warm-up
+     * has ended. On a busy core such a request was seen to be forwarded to an endpoint.
      */
     BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> ownResponses() {
         String own = token;
@@ -189,13 +193,14 @@
         @Override
         public void served(HttpMessage answer) {
             inFlight--;
-            // Not at once: the driver is still at work on this one.
+            // Deferred, since the forwarder is still processing this request.
             loop.run(Warmup.this::sendNext);
         }
 
         @Override
         public void rejected(long retryAfter) {
-            served(null); // one that found no room beside the others is no reason to end cold
+            served(null); // a request rejected because of the others is no reason to end the
+            // warm-up
         }
 
         @Override
@@ -209,7 +214,7 @@
         }
     }
 
-    /** The clock, for as long as the warm-up lasts: what its module scheduled ends with it. */
+    /** The timers of the warm-up: what its balancer has scheduled is dropped once it ends. */
     private final class WarmupTimers implements TimerService {
         @Override
         public long now() {
@@ -228,7 +233,10 @@
         }
     }
 
-    /** The channels to itself; probes are answered here, since a listener answers none. */
+    /**
+     * The connections to the proxy itself; probes are answered here, since the listener answers
+     * none.
+     */
     private final class SelfTransport implements AttemptTransport<HttpMessage, HttpMessage> {
         @Override
         public boolean knowsEndpoint(long endpoint) {
