--- a/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
+++ b/conditions/src/main/java/cedarrudder/conditions/CelConditions.java
@@ -27,14 +27,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Conditions in CEL (the Common Expression Language), by Google's own library. Of the language
- * everything is there that takes a time bounded by the text's length: no macros, so nothing loops,
- * and no regular expressions. A condition that takes longer than {@link #MAX_NANOS} all the same
- * counts as one that can't be told.
+ * Compiles conditions in CEL (the Common Expression Language) with Google's own library. The
+ * supported part of the language is limited to what runs in a time bounded by the length of the
+ * text: no macros, so there are no loops, and no regular expressions. A condition that takes longer
+ * than {@link #MAX_NANOS} all the same counts as one that can't be decided.
  */
 public final class CelConditions implements ConditionCompiler {
 
-    /** The longest that one may take, in nanoseconds of this thread's own work. */
+    /** The maximum duration of an evaluation, in nanoseconds of CPU time of its thread. */
     public static final long MAX_NANOS = 50_000_000L;
 
     private static final CelOptions OPTIONS =
@@ -44,27 +44,27 @@
                     .maxParseRecursionDepth(64)
                     .build();
 
-    private static final Map<String, CelType> OF_FIGURES = figures();
+    private static final Map<String, CelType> POLICY_VARIABLES = figures();
 
-    private static final Map<String, CelType> OF_NODE = node();
+    private static final Map<String, CelType> NODE_VARIABLES = node();
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private static final PolicyConditionInputs CALM =
+    private static final PolicyConditionInputs SAMPLE_INPUTS =
             new PolicyConditionInputs(0, 0, 0, 1, 1, 1, 0, 0);
 
-    private static final DrainableNode SOME =
+    private static final DrainableNode SAMPLE_NODE =
             new DrainableNode(0, "", "", 0, "", 1, DrainableNode.NodeStatus.SERVING, 0);
 
     private final CelRuntime runtime =
             CelRuntimeFactory.standardCelRuntimeBuilder().setOptions(OPTIONS).build();
-    private CelCompiler overFigures;
-    private CelCompiler overNode;
+    private CelCompiler policyCompiler;
+    private CelCompiler nodeCompiler;
 
     private static Map<String, CelType> figures() {
         Map<String, CelType> types = new LinkedHashMap<>();
         for (PolicyConditionInputs.Name name : PolicyConditionInputs.Name.values()) {
-            types.put(written(name), name.isFraction() ? SimpleType.DOUBLE : SimpleType.INT);
+            types.put(variableName(name), name.isFraction() ? SimpleType.DOUBLE : SimpleType.INT);
         }
         return types;
     }
@@ -79,7 +79,7 @@
         return types;
     }
 
-    private static String written(PolicyConditionInputs.Name name) {
+    private static String variableName(PolicyConditionInputs.Name name) {
         return name.name().toLowerCase(Locale.ROOT);
     }
 
@@ -99,24 +99,24 @@
 
     @Override
     public PolicyCondition compilePolicyCondition(String text) {
-        overFigures = overFigures == null ? compiler(OF_FIGURES) : overFigures;
-        CelRuntime.Program program = program(overFigures, OF_FIGURES, text);
+        policyCompiler = policyCompiler == null ? compiler(POLICY_VARIABLES) : policyCompiler;
+        CelRuntime.Program program = program(policyCompiler, POLICY_VARIABLES, text);
         PolicyCondition condition =
                 figures -> {
                     Map<String, Object> values = new HashMap<>();
                     for (PolicyConditionInputs.Name name : PolicyConditionInputs.Name.values()) {
-                        values.put(written(name), figures.of(name));
+                        values.put(variableName(name), figures.of(name));
                     }
                     return holds(program, values);
                 };
-        evaluateOnce(() -> condition.holds(CALM));
+        evaluateOnce(() -> condition.holds(SAMPLE_INPUTS));
         return condition;
     }
 
     @Override
     public NodeCondition compileNodeCondition(String text) {
-        overNode = overNode == null ? compiler(OF_NODE) : overNode;
-        CelRuntime.Program program = program(overNode, OF_NODE, text);
+        nodeCompiler = nodeCompiler == null ? compiler(NODE_VARIABLES) : nodeCompiler;
+        CelRuntime.Program program = program(nodeCompiler, NODE_VARIABLES, text);
         NodeCondition condition =
                 node ->
                         holds(
@@ -132,16 +132,19 @@
                                         node.kind(),
                                         "weight",
                                         node.weight()));
-        evaluateOnce(() -> condition.holds(SOME));
+        evaluateOnce(() -> condition.holds(SAMPLE_NODE));
         return condition;
     }
 
-    /** Loads the classes that an evaluation needs, so that the event loop never waits for them. */
+    /**
+     * Evaluates a condition once to load the classes that this needs, so that the event loop never
+     * waits for them.
+     */
     private static void evaluateOnce(Runnable evaluation) {
         try {
             evaluation.run();
         } catch (IllegalStateException e) {
-            // It can't be decided for this sample; its classes are loaded all the same.
+            // The condition can't be decided for this sample; its classes are loaded all the same.
         }
     }
 
@@ -207,11 +210,10 @@
 
     private static boolean holds(CelRuntime.Program program, Map<String, ?> values) {
         try {
-            // Not by the clock: this avoids a busy machine's pauses being taken for the
-            // condition's.
-            long begun = THREADS.getCurrentThreadCpuTime();
+            // CPU time, since on a busy machine elapsed time would include pauses of the thread.
+            long started = THREADS.getCurrentThreadCpuTime();
             boolean holds = (Boolean) program.eval(values);
-            if (THREADS.getCurrentThreadCpuTime() - begun > MAX_NANOS) {
+            if (THREADS.getCurrentThreadCpuTime() - started > MAX_NANOS) {
                 throw new IllegalStateException("a condition took over " + MAX_NANOS + " ns");
             }
             return holds;
--- a/conditions/src/main/java/cedarrudder/conditions/package-info.java
+++ b/conditions/src/main/java/cedarrudder/conditions/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Conditions of drain policies in CEL, in a jar of its own that the daemon opens once a policy has
- * a condition.
+ * Compiles conditions of drain policies in CEL. The module is a separate jar that the daemon opens
+ * once a policy has a condition.
  *
  * <p>Uses {@code draining}.
  */
--- a/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
+++ b/conditions/src/test/java/cedarrudder/conditions/CelConditionsTest.java
@@ -12,10 +12,10 @@
 import cedarrudder.draining.PolicyConditionInputs;
 import org.testng.annotations.Test;
 
-/** Conditions as operators write them. */
+/** Tests conditions in the form in which operators write them. */
 public class CelConditionsTest {
 
-    private static final PolicyConditionInputs FIGURES =
+    private static final PolicyConditionInputs INPUTS =
             new PolicyConditionInputs(0.01, 0.2, 0, 0.75, 5, 6, 3, 1);
     private static final DrainableNode NODE =
             new DrainableNode(1, "shops", "a", 3, "big", 2.5, DrainableNode.NodeStatus.SERVING, 0);
@@ -23,14 +23,14 @@
     private final ConditionCompiler conditions = new CelConditions();
 
     @Test
-    public void conditionsSeeTheFiguresAndTheNode() {
+    public void conditionsReadThePolicyInputsAndTheNode() {
         assertTrue(
                 conditions
                         .compilePolicyCondition(
                                 "failed > 0.1 && refused < 0.02 && late == 0.0 && capacity_left >="
                                     + " 0.75 && live_copies * 2 > copies && out == 3 && died < 2")
-                        .holds(FIGURES));
-        assertEquals(conditions.compilePolicyCondition("failed > 1").holds(FIGURES), false);
+                        .holds(INPUTS));
+        assertEquals(conditions.compilePolicyCondition("failed > 1").holds(INPUTS), false);
         assertTrue(
                 conditions
                         .compileNodeCondition(
@@ -39,10 +39,10 @@
                         .holds(NODE));
     }
 
-    /** Each with what it was found to be. */
+    /** Each invalid text is listed with a part of the message that it causes. */
     @Test
-    public void whatIsNoConditionIsRefusedWithItsPlace() {
-        String[][] wrong = {
+    public void invalidConditionIsRejectedWithItsPosition() {
+        String[][] invalid = {
             {"faild > 0.1", "at character 1 undeclared reference to 'faild'"},
             {"failed > ", "mismatched input"},
             {"failed > 'much'", "found no matching overload"},
@@ -51,12 +51,12 @@
             {"[1, 2].all(x, x > 0)", "undeclared reference"},
             {"'a'.matches('(a+)+')", "undeclared reference to 'matches'"},
         };
-        for (String[] each : wrong) {
-            InvalidConditionException bad =
+        for (String[] each : invalid) {
+            InvalidConditionException error =
                     expectThrows(
                             InvalidConditionException.class,
                             () -> conditions.compilePolicyCondition(each[0]));
-            assertTrue(bad.found().contains(each[1]), each[0] + ": " + bad.getMessage());
+            assertTrue(error.found().contains(each[1]), each[0] + ": " + error.getMessage());
         }
         assertThrows(
                 InvalidConditionException.class,
@@ -68,34 +68,34 @@
                 () -> conditions.compileNodeCondition("failed > 0.1"));
     }
 
-    /** Detects a division by 0 or an overflow that ends the loop. */
+    /** A division by 0 or an overflow must not end the loop. */
     @Test
-    public void oneThatCanNotBeToldThrowsAtRunTime() {
+    public void undecidableConditionThrowsWhenEvaluated() {
         assertThrows(
                 IllegalStateException.class,
-                () -> conditions.compilePolicyCondition("1 / (out - 3) > 0").holds(FIGURES));
+                () -> conditions.compilePolicyCondition("1 / (out - 3) > 0").holds(INPUTS));
         assertThrows(
                 IllegalStateException.class,
                 () ->
                         conditions
                                 .compilePolicyCondition("9223372036854775807 + out > 0")
-                                .holds(FIGURES));
+                                .holds(INPUTS));
     }
 
-    /** Detects a text within the bound that keeps the loop for long. */
+    /** A condition within the length limit must not block the loop for long. */
     @Test
-    public void theLongestTextTakesNoTimeThatCouldBeSeen() {
+    public void longestConditionIsEvaluatedWithinTheTimeLimit() {
         String text = "failed > 0.1";
         while (text.length() < DrainPolicy.MAX_TEXT - 20) {
             text += " || died > 5";
         }
         ConditionCompiler.PolicyCondition condition =
                 conditions.compilePolicyCondition(text.replace("failed > 0.1", "failed > 0.9"));
-        long begun = System.nanoTime();
+        long started = System.nanoTime();
         int times = 1_000;
         for (int i = 0; i < times; i++) {
-            assertEquals(condition.holds(FIGURES), false);
+            assertEquals(condition.holds(INPUTS), false);
         }
-        assertTrue((System.nanoTime() - begun) / times < CelConditions.MAX_NANOS);
+        assertTrue((System.nanoTime() - started) / times < CelConditions.MAX_NANOS);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/AgreementTable.java
@@ -6,12 +6,15 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The table {@code [agreement]}: what replicas decide together. Absent, each decides alone. */
+/**
+ * The table {@code [agreement]}: coordination among replicas. Without it, each replica decides
+ * alone.
+ */
 public final class AgreementTable extends OperatorSection<AgreementTableSettings> {
 
     public static final AgreementTable AGREEMENT = new AgreementTable();
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long MIN_HEARTBEAT = 10;
     private static final long MAX_HEARTBEAT = 10_000;
     private static final long MAX_TIME = 600_000;
@@ -47,15 +50,18 @@
                 folder.isEmpty() ? null : Path.of(folder));
     }
 
-    /** The settings of the log; null where some of them are wrong, which the table reports. */
+    /**
+     * Reads the settings of the consensus log; returns null where some of them are wrong, which the
+     * table reports.
+     */
     private static ConsensusSettings readConsensus(ConfigTable table) {
-        ConsensusSettings usual = ConsensusSettings.DEFAULT;
+        ConsensusSettings defaults = ConsensusSettings.DEFAULT;
         long heartbeat =
                 CommonKeys.millis(
-                        table, "heartbeat_ms", MIN_HEARTBEAT, MAX_HEARTBEAT, usual.heartbeat());
+                        table, "heartbeat_ms", MIN_HEARTBEAT, MAX_HEARTBEAT, defaults.heartbeat());
         long minElection = readMinElection(table, heartbeat);
         long maxElection = readMaxElection(table, minElection);
-        int voters = (int) table.integer("voters", MIN_VOTERS, MAX_VOTERS, usual.voters());
+        int voters = (int) table.integer("voters", MIN_VOTERS, MAX_VOTERS, defaults.voters());
         if (voters % 2 == 0) {
             table.problem("voters", Integer.toString(voters), "3, 5, 7");
         }
@@ -69,10 +75,10 @@
                         maxElection,
                         voters,
                         patience,
-                        usual.spreadPeriod(),
-                        usual.fanout(),
-                        usual.bytesPerSecond(),
-                        usual.retainedEntries(),
+                        defaults.spreadPeriod(),
+                        defaults.fanout(),
+                        defaults.bytesPerSecond(),
+                        defaults.retainedEntries(),
                         silence);
     }
 
@@ -114,15 +120,15 @@
         return silence;
     }
 
-    private static long time(ConfigTable table, String key, long usual) {
-        return CommonKeys.millis(table, key, MIN_HEARTBEAT, MAX_TIME, usual);
+    private static long time(ConfigTable table, String key, long defaults) {
+        return CommonKeys.millis(table, key, MIN_HEARTBEAT, MAX_TIME, defaults);
     }
 
-    /** The settings of the table; null where some of them are wrong. */
+    /** Reads the settings of the coordination; returns null where some of them are wrong. */
     private static CoordinationSettings readCoordination(ConfigTable table) {
-        CoordinationSettings usual = CoordinationSettings.DEFAULT;
-        long period = CommonKeys.millis(table, "plan_ms", MIN_PLAN, MAX_TIME, usual.period());
-        long lease = CommonKeys.millis(table, "lease_ms", MIN_PLAN, MAX_TIME, usual.lease());
+        CoordinationSettings defaults = CoordinationSettings.DEFAULT;
+        long period = CommonKeys.millis(table, "plan_ms", MIN_PLAN, MAX_TIME, defaults.period());
+        long lease = CommonKeys.millis(table, "lease_ms", MIN_PLAN, MAX_TIME, defaults.lease());
         if (lease < PERIODS_PER_LEASE * period && table.sound("plan_ms", "lease_ms")) {
             wrong(table, "lease_ms", lease, "plan_ms", period, "four times that or more");
         }
@@ -131,6 +137,9 @@
 
     private static void wrong(
             ConfigTable table, String key, long found, String other, long with, String allowed) {
-        table.problem(key, found / MILLI + " with " + other + " = " + with / MILLI, allowed);
+        table.problem(
+                key,
+                found / NANOS_PER_MILLI + " with " + other + " = " + with / NANOS_PER_MILLI,
+                allowed);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/BudgetTable.java
@@ -5,7 +5,7 @@
 import cedarrudder.toml.ConfigTable;
 
 /**
- * The table {@code [budget]}: budgets of time and attempts across tiers. Absent, there are none.
+ * The table {@code [budget]}: budgets of time and attempts across tiers. Without it there are none.
  */
 public final class BudgetTable extends OperatorSection<BudgetSettings> {
 
@@ -23,27 +23,28 @@
         super("budget", BudgetSettings.class, null);
     }
 
-    /** Also read where an experiment has such a table. */
+    /** Reads the table; also used where an experiment has such a table. */
     @Override
     public BudgetSettings read(ConfigTable table) {
-        BudgetSettings usual = BudgetSettings.of("");
+        BudgetSettings defaults = BudgetSettings.of("");
         BudgetSettings read =
                 new BudgetSettings(
                         table.text("hop", ""),
-                        (int) table.integer("tries", 0, MAX_TRIES, usual.tries()),
+                        (int) table.integer("tries", 0, MAX_TRIES, defaults.tries()),
                         (int)
                                 table.integer(
                                         "tries_without_fields",
                                         0,
                                         MAX_TRIES,
-                                        usual.triesWithoutFields()),
-                        (int) table.integer("keep_tries", 0, MAX_TRIES, usual.keep()),
-                        table.number("retry_share", 0, 1, usual.share()),
-                        table.number("retry_least_per_s", 0, MAX_PER_SECOND, usual.minPerSecond()),
+                                        defaults.triesWithoutFields()),
+                        (int) table.integer("keep_tries", 0, MAX_TRIES, defaults.keep()),
+                        table.number("retry_share", 0, 1, defaults.share()),
+                        table.number(
+                                "retry_least_per_s", 0, MAX_PER_SECOND, defaults.minPerSecond()),
                         CommonKeys.millis(
-                                table, "window_ms", MIN_WINDOW, MAX_WINDOW, usual.window()),
-                        (int) table.integer("path_most", MIN_PATH, MAX_PATH, usual.maxHops()),
-                        table.number("let_in_least", MIN_LET_IN, 1, usual.minAdmitted()));
+                                table, "window_ms", MIN_WINDOW, MAX_WINDOW, defaults.window()),
+                        (int) table.integer("path_most", MIN_PATH, MAX_PATH, defaults.maxHops()),
+                        table.number("let_in_least", MIN_LET_IN, 1, defaults.minAdmitted()));
         check(table, read);
         return read;
     }
@@ -59,13 +60,13 @@
             table.problem(
                     "tries_without_fields",
                     read.triesWithoutFields() + " with tries = " + read.tries(),
-                    "no more than tries, which a call with fields gets");
+                    "no more than tries, which a request with fields gets");
         }
         if (read.keep() > read.tries()) {
             table.problem(
                     "keep_tries",
                     read.keep() + " with tries = " + read.tries(),
-                    "no more than tries, of which they are kept");
+                    "no more than tries, of which they are reserved");
         }
         if (read.tries() > 0 && read.share() == 0 && read.minPerSecond() == 0) {
             table.problem(
--- a/daemon/src/main/java/cedarrudder/operator/CallersTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/CallersTable.java
@@ -3,7 +3,7 @@
 import cedarrudder.toml.ConfigTable;
 import cedarrudder.transport.ClientLimits;
 
-/** The table {@code [callers]}. */
+/** The table {@code [callers]}: the limits for clients. */
 public final class CallersTable extends OperatorSection<ClientLimits> {
 
     public static final CallersTable CALLERS = new CallersTable();
@@ -14,12 +14,12 @@
 
     @Override
     ClientLimits read(ConfigTable table) {
-        ClientLimits usual = ClientLimits.DEFAULT;
+        ClientLimits defaults = ClientLimits.DEFAULT;
         long request =
                 CommonKeys.millis(
-                        table, "request_patience_ms", 100, 60_000, usual.requestTimeout());
+                        table, "request_patience_ms", 100, 60_000, defaults.requestTimeout());
         long silent =
-                CommonKeys.millis(table, "silent_patience_ms", 50, 60_000, usual.silentAfter());
+                CommonKeys.millis(table, "silent_patience_ms", 50, 60_000, defaults.silentAfter());
         if (silent > request && table.sound("silent_patience_ms", "request_patience_ms")) {
             table.problem(
                     "silent_patience_ms",
@@ -29,11 +29,12 @@
         return new ClientLimits(
                 request,
                 silent,
-                CommonKeys.millis(table, "idle_patience_ms", 500, 3_600_000, usual.idleTimeout()),
                 CommonKeys.millis(
-                        table, "answer_patience_ms", 500, 600_000, usual.responseTimeout()),
-                CommonKeys.headBytes(table, usual.maxHeadBytes()),
-                CommonKeys.bodyBytes(table, usual.maxBodyBytes()),
-                CommonKeys.descriptorsShare(table, usual.descriptorShare()));
+                        table, "idle_patience_ms", 500, 3_600_000, defaults.idleTimeout()),
+                CommonKeys.millis(
+                        table, "answer_patience_ms", 500, 600_000, defaults.responseTimeout()),
+                CommonKeys.headBytes(table, defaults.maxHeadBytes()),
+                CommonKeys.bodyBytes(table, defaults.maxBodyBytes()),
+                CommonKeys.descriptorsShare(table, defaults.descriptorShare()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
+++ b/daemon/src/main/java/cedarrudder/operator/CommonKeys.java
@@ -2,10 +2,10 @@
 
 import cedarrudder.toml.ConfigTable;
 
-/** Keys that more than one table has, in the units that their names state. */
+/** Reads keys that more than one table has, in the units that their names state. */
 final class CommonKeys {
 
-    private static final long NANOS_A_MILLI = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int MIN_HEAD = 1024;
     private static final int MAX_HEAD = 256 * 1024;
     private static final int MAX_BODY = 1024 * 1024 * 1024;
@@ -14,27 +14,27 @@
     static final String SHARE = "descriptors_share";
 
     /**
-     * What clients and channels to endpoints may have together; discovery and the process's files
-     * need some.
+     * The maximum sum of the fractions of descriptors for clients and for connections to endpoints;
+     * discovery and the process's files need the rest.
      */
     static final double MAX_SHARES = 0.9;
 
     private CommonKeys() {}
 
-    /** A time in whole milliseconds; in nanoseconds from here on. */
-    static long millis(ConfigTable table, String key, long min, long max, long otherwiseNanos) {
-        return NANOS_A_MILLI * table.integer(key, min, max, otherwiseNanos / NANOS_A_MILLI);
+    /** Reads a time in whole milliseconds and returns it in nanoseconds. */
+    static long millis(ConfigTable table, String key, long min, long max, long defaultNanos) {
+        return NANOS_PER_MILLI * table.integer(key, min, max, defaultNanos / NANOS_PER_MILLI);
     }
 
-    static int headBytes(ConfigTable table, int otherwise) {
-        return (int) table.integer("head_bytes", MIN_HEAD, MAX_HEAD, otherwise);
+    static int headBytes(ConfigTable table, int defaultValue) {
+        return (int) table.integer("head_bytes", MIN_HEAD, MAX_HEAD, defaultValue);
     }
 
-    static int bodyBytes(ConfigTable table, int otherwise) {
-        return (int) table.integer("body_bytes", 0, MAX_BODY, otherwise);
+    static int bodyBytes(ConfigTable table, int defaultValue) {
+        return (int) table.integer("body_bytes", 0, MAX_BODY, defaultValue);
     }
 
-    static double descriptorsShare(ConfigTable table, double otherwise) {
-        return table.number(SHARE, MIN_SHARE, MAX_SHARES - MIN_SHARE, otherwise);
+    static double descriptorsShare(ConfigTable table, double defaultValue) {
+        return table.number(SHARE, MIN_SHARE, MAX_SHARES - MIN_SHARE, defaultValue);
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
+++ b/daemon/src/main/java/cedarrudder/operator/ConditionsJar.java
@@ -10,18 +10,18 @@
 import java.net.URLClassLoader;
 
 /**
- * The reader of conditions, in a jar of its own beside the program's. This avoids a start that
- * reads the list of its thousands of files where no policy has a condition.
+ * Compiles conditions with a compiler from a separate jar beside the program's, so that a start
+ * without conditions in its policies does not read the list of the jar's thousands of files.
  */
 final class ConditionsJar implements ConditionCompiler {
 
     private static final String NAME = "cedarrudder-conditions.jar";
     private static final String CLASS = "cedarrudder.conditions.CelConditions";
 
-    private ConditionCompiler opened;
+    private ConditionCompiler compiler;
 
     private ConditionCompiler open() {
-        if (opened == null) {
+        if (compiler == null) {
             try {
                 URI own =
                         ConditionsJar.class
@@ -35,13 +35,14 @@
                             "no " + NAME + " beside the program's jar",
                             "that file, " + "which reads conditions");
                 }
-                // It stays open for as long as the program runs, as its classes are read from it.
+                // The loader stays open for as long as the program runs, since classes are loaded
+                // from the jar at any time.
                 @SuppressWarnings("resource")
                 URLClassLoader loader =
                         new URLClassLoader(
                                 new URL[] {jar.toURI().toURL()},
                                 ConditionsJar.class.getClassLoader());
-                opened =
+                compiler =
                         (ConditionCompiler)
                                 loader.loadClass(CLASS).getDeclaredConstructor().newInstance();
             } catch (URISyntaxException | IOException | ReflectiveOperationException e) {
@@ -50,7 +51,7 @@
                         "the one " + "that was built with the program");
             }
         }
-        return opened;
+        return compiler;
     }
 
     @Override
--- a/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/DiscoveryTable.java
@@ -3,15 +3,16 @@
 import cedarrudder.forwarding.DiscoveryTimeouts;
 import cedarrudder.toml.ConfigTable;
 
-/** The table {@code [discovery]}. */
+/** The table {@code [discovery]}: the timeouts of discovery. */
 public final class DiscoveryTable extends OperatorSection<DiscoveryTimeouts> {
 
     public static final DiscoveryTable DISCOVERY = new DiscoveryTable();
 
     /**
-     * Discovery says something every 2 s; a shorter patience would lose every watch that stands.
+     * The minimum, in milliseconds: discovery sends a message every 2 s, and a shorter timeout
+     * would end every working watch.
      */
-    private static final int MIN_WATCH = 2_500;
+    private static final int MIN_WATCH_MILLIS = 2_500;
 
     private DiscoveryTable() {
         super("discovery", DiscoveryTimeouts.class, DiscoveryTimeouts.DEFAULT);
@@ -19,12 +20,16 @@
 
     @Override
     DiscoveryTimeouts read(ConfigTable table) {
-        DiscoveryTimeouts usual = DiscoveryTimeouts.DEFAULT;
+        DiscoveryTimeouts defaults = DiscoveryTimeouts.DEFAULT;
         return new DiscoveryTimeouts(
-                CommonKeys.millis(table, "call_patience_ms", 100, 60_000, usual.callNanos()),
-                CommonKeys.millis(table, "ask_again_ms", 100, 60_000, usual.hedgeNanos()),
+                CommonKeys.millis(table, "call_patience_ms", 100, 60_000, defaults.callNanos()),
+                CommonKeys.millis(table, "ask_again_ms", 100, 60_000, defaults.hedgeNanos()),
                 CommonKeys.millis(
-                        table, "watch_patience_ms", MIN_WATCH, 600_000, usual.watchSilenceNanos()),
-                CommonKeys.millis(table, "watch_spread_ms", 0, 60_000, usual.jitterNanos()));
+                        table,
+                        "watch_patience_ms",
+                        MIN_WATCH_MILLIS,
+                        600_000,
+                        defaults.watchSilenceNanos()),
+                CommonKeys.millis(table, "watch_spread_ms", 0, 60_000, defaults.jitterNanos()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/DrainsConfiguration.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsConfiguration.java
@@ -6,12 +6,13 @@
 import java.util.List;
 
 /**
- * What the operator's file says of drains.
+ * The drain policies of the operator's file.
  *
- * @param revision the highest of all replicas' counts for all
- * @param both the pairs of policies that are for some endpoint both
- * @param conditions what reads the conditions of these policies, and of those that other replicas
- *     have
+ * @param revision the revision of the policies; the highest one among the replicas applies to all
+ * @param policies the policies
+ * @param both the pairs of policies that apply to the same endpoints
+ * @param conditions the compiler for the conditions of these policies, and of those of other
+ *     replicas
  */
 public record DrainsConfiguration(
         long revision,
--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -22,16 +22,16 @@
 import java.util.Set;
 
 /**
- * Reads the table {@code [drains]}. A class of its own, so that none of drainage is loaded without
- * it.
+ * Reads the table {@code [drains]}. Separate from {@link DrainsTable}, so that a process without
+ * the table loads no class of draining.
  */
 final class DrainsReader {
 
-    private static final long MILLI = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long MAX_REVISION = 1L << 52;
     private static final int MAX_POD = 1_000_000;
     private static final double MAX_WEIGHT = 1_000_000;
-    private static final long DEFAULT_DEADLINE = 60_000 * MILLI;
+    private static final long DEFAULT_DEADLINE = 60_000 * NANOS_PER_MILLI;
     private static final int MAX_FLEET = 4_096;
     private static final List<String> DAYS =
             List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun");
@@ -63,13 +63,16 @@
         if (bytes > PolicyCodec.MAX_BYTES) {
             table.problem(
                     "policy",
-                    "policies of " + bytes + " bytes as copies tell them",
+                    "policies of " + bytes + " bytes as replicas exchange them",
                     "up to " + PolicyCodec.MAX_BYTES);
         }
         return new DrainsConfiguration(revision, policies, result.overlapping(), conditions);
     }
 
-    /** Adds the policies that can be read; says whether all could, each with a name of its own. */
+    /**
+     * Adds the policies that can be read; returns whether all could be read, each with a name of
+     * its own.
+     */
     private static boolean readPolicies(
             List<ConfigTable> tables, ConditionCompiler conditions, List<DrainPolicy> policies) {
         Set<String> names = new HashSet<>();
@@ -114,37 +117,38 @@
         return fits ? new Fleet((int) zones, (int) pods, (int) nodes) : null;
     }
 
-    /** A policy; null where something of it is wrong, which the table reports. */
+    /** Reads a policy; returns null where part of it is wrong, which the table reports. */
     private static DrainPolicy policy(ConfigTable table, ConditionCompiler conditions) {
-        Faults faults = new Faults(table);
-        String name = faults.text("name", null);
-        NodeSelector selector = faults.selector();
-        MaxUnavailable perPod = faults.max("out_per_pod");
-        MaxUnavailable perZone = faults.max("out_per_zone");
-        MaxUnavailable perTier = faults.max("out_per_tier");
-        MinAvailable minAvailable = faults.minAvailable();
+        PolicyFields fields = new PolicyFields(table);
+        String name = fields.text("name", null);
+        NodeSelector selector = fields.selector();
+        MaxUnavailable perPod = fields.max("out_per_pod");
+        MaxUnavailable perZone = fields.max("out_per_zone");
+        MaxUnavailable perTier = fields.max("out_per_tier");
+        MinAvailable minAvailable = fields.minAvailable();
         if (BOUNDS.stream().noneMatch(table::has)) {
-            faults.problem(
+            fields.problem(
                     "out_per_tier", "no bound", "one at least of " + String.join(", ", BOUNDS));
         }
         DrainOrder order = table.choice("order", DrainOrder.class, DrainOrder.AS_ASKED);
         int wave = (int) table.integer("wave", 1, DrainPolicy.MAX_NODES, DrainPolicy.MAX_NODES);
         long pace =
-                CommonKeys.millis(table, "pace_ms", 0, DrainPolicy.MAX_DURATION_NANOS / MILLI, 0);
+                CommonKeys.millis(
+                        table, "pace_ms", 0, DrainPolicy.MAX_DURATION_NANOS / NANOS_PER_MILLI, 0);
         int died = (int) table.integer("died", 0, DrainPolicy.MAX_NODES, 1);
-        String pauseIf = faults.text("pause_if", "");
-        String resumeIf = faults.text("go_on_if", "");
-        String giveBackIf = faults.text("give_back_if", "");
-        long deadline = faults.deadline();
+        String pauseIf = fields.text("pause_if", "");
+        String resumeIf = fields.text("go_on_if", "");
+        String giveBackIf = fields.text("give_back_if", "");
+        long deadline = fields.deadline();
         OnDeadline onDeadline = table.choice("at_end", OnDeadline.class, OnDeadline.KEEP_WAITING);
         OnRestart onRestart = table.choice("restarted", OnRestart.class, OnRestart.BACK);
-        List<Window> closed = faults.windows();
-        faults.nodeCondition("where", faults.where, conditions);
-        faults.condition("pause_if", pauseIf, conditions);
-        faults.condition("go_on_if", resumeIf, conditions);
-        faults.condition("give_back_if", giveBackIf, conditions);
+        List<Window> closed = fields.windows();
+        fields.nodeCondition("where", fields.where, conditions);
+        fields.condition("pause_if", pauseIf, conditions);
+        fields.condition("go_on_if", resumeIf, conditions);
+        fields.condition("give_back_if", giveBackIf, conditions);
         table.done();
-        return !faults.sound
+        return !fields.sound
                 ? null
                 : new DrainPolicy(
                         name,
@@ -167,15 +171,15 @@
     }
 
     /**
-     * Reads parts of a policy, and keeps in mind whether one was wrong so that no policy comes of
-     * it.
+     * Reads the parts of a policy and records whether one was wrong, in which case no policy is
+     * created.
      */
-    private static final class Faults {
+    private static final class PolicyFields {
         private final ConfigTable table;
         private boolean sound = true;
         private String where;
 
-        Faults(ConfigTable table) {
+        PolicyFields(ConfigTable table) {
             this.table = table;
         }
 
@@ -184,11 +188,11 @@
             sound = false;
         }
 
-        String text(String key, String otherwise) {
-            String text = table.text(key, otherwise);
+        String text(String key, String defaultValue) {
+            String text = table.text(key, defaultValue);
             sound &= table.sound(key);
             if (text.length() > DrainPolicy.MAX_TEXT
-                    || text.isEmpty() && otherwise == null && table.sound(key)) {
+                    || text.isEmpty() && defaultValue == null && table.sound(key)) {
                 problem(key, text.length() + " characters", "1 to " + DrainPolicy.MAX_TEXT);
             }
             return text;
@@ -262,7 +266,7 @@
             return time.getHour() * 60 + time.getMinute();
         }
 
-        /** Whom it is for; null where something is wrong so far. */
+        /** Reads the selector of the policy; returns null where a part read so far is wrong. */
         NodeSelector selector() {
             String tier = text("tier", "");
             String zone = text("zone", "");
@@ -280,8 +284,8 @@
             return CommonKeys.millis(
                     table,
                     "node_ms",
-                    DrainPolicy.MIN_DEADLINE_NANOS / MILLI,
-                    DrainPolicy.MAX_DURATION_NANOS / MILLI,
+                    DrainPolicy.MIN_DEADLINE_NANOS / NANOS_PER_MILLI,
+                    DrainPolicy.MAX_DURATION_NANOS / NANOS_PER_MILLI,
                     DEFAULT_DEADLINE);
         }
 
--- a/daemon/src/main/java/cedarrudder/operator/DrainsTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsTable.java
@@ -3,7 +3,8 @@
 import cedarrudder.toml.ConfigTable;
 
 /**
- * The table {@code [drains]}: what must hold while endpoints leave. Absent, nothing of it is there.
+ * The table {@code [drains]}: the constraints while endpoints are drained. Without it the feature
+ * is off.
  */
 public final class DrainsTable extends OperatorSection<DrainsConfiguration> {
 
--- a/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FailoverTable.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * The table {@code [failover]}: when zones serve one another's clients. Absent, replicas decide
+ * The table {@code [failover]}: when zones serve each other's clients. Without it, replicas decide
  * alone.
  */
 public final class FailoverTable extends OperatorSection<FailoverSettings> {
@@ -33,9 +33,10 @@
 
     @Override
     FailoverSettings read(ConfigTable table) {
-        FailoverSettings usual = FailoverSettings.DEFAULT;
+        FailoverSettings defaults = FailoverSettings.DEFAULT;
         Regions regions = regions(table);
-        long period = CommonKeys.millis(table, "period_ms", MIN_PERIOD, MAX_PERIOD, usual.period());
+        long period =
+                CommonKeys.millis(table, "period_ms", MIN_PERIOD, MAX_PERIOD, defaults.period());
         long evidenceAge = readEvidenceAge(table, period);
         long returnHold = readReturnHold(table, period);
         long maxReturnHold = readMaxReturnHold(table, returnHold);
@@ -44,18 +45,21 @@
                 table.texts("leave"),
                 period,
                 evidenceAge,
-                (int) table.integer("least_copies", 1, MAX_REPLICAS, usual.minReplicas()),
-                table.number("bad_share", MIN_SHARE, MAX_BAD, usual.badShare()),
-                table.number("target_share", MIN_PART, 1, usual.targetShare()),
-                table.number("near_share", MIN_PART, 1, usual.nearShare()),
-                CommonKeys.millis(table, "loss_hold_ms", 0, MAX_TIME, usual.lossHold()),
-                table.number("return_step", MIN_SHARE, 1, usual.returnStep()),
+                (int) table.integer("least_copies", 1, MAX_REPLICAS, defaults.minReplicas()),
+                table.number("bad_share", MIN_SHARE, MAX_BAD, defaults.badShare()),
+                table.number("target_share", MIN_PART, 1, defaults.targetShare()),
+                table.number("near_share", MIN_PART, 1, defaults.nearShare()),
+                CommonKeys.millis(table, "loss_hold_ms", 0, MAX_TIME, defaults.lossHold()),
+                table.number("return_step", MIN_SHARE, 1, defaults.returnStep()),
                 returnHold,
                 maxReturnHold,
                 (int)
                         table.integer(
-                                "moves_per_minute", MIN_MOVES, MAX_MOVES, usual.movesPerMinute()),
-                table.number("watch_share", 0, MAX_WATCH, usual.probeShare()));
+                                "moves_per_minute",
+                                MIN_MOVES,
+                                MAX_MOVES,
+                                defaults.movesPerMinute()),
+                table.number("watch_share", 0, MAX_WATCH, defaults.probeShare()));
     }
 
     private static long readEvidenceAge(ConfigTable table, long period) {
@@ -113,8 +117,8 @@
     }
 
     /**
-     * What contradicts itself is reported where it stands; whether the zones exist is known at the
-     * start.
+     * Reads the regions. Contradictions are reported where they occur; whether the zones exist is
+     * known only at the start.
      */
     private static Regions regions(ConfigTable table) {
         List<ConfigTable> entries = table.tables("region");
--- a/daemon/src/main/java/cedarrudder/operator/FootprintSettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/FootprintSettings.java
@@ -1,12 +1,13 @@
 package cedarrudder.operator;
 
 /**
- * How much of the heap lists of endpoints may take.
+ * The limits on the heap for lists of endpoints.
  *
- * @param heapShare of the heap's maximum, for endpoints and their lists at the peak of loading
- * @param fromNodes with fewer endpoints than that, nothing is left out
- * @param again this long after endpoints were left out the whole list is asked for anew;
- *     nanoseconds
+ * @param heapShare the fraction of the heap's maximum for endpoints and their lists at the peak of
+ *     loading
+ * @param fromNodes lists with fewer endpoints are always loaded completely
+ * @param again the delay after which the whole list is requested again where endpoints were left
+ *     out, in nanoseconds
  */
 public record FootprintSettings(double heapShare, int fromNodes, long again) {
 
--- a/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/FootprintTable.java
@@ -3,7 +3,8 @@
 import cedarrudder.toml.ConfigTable;
 
 /**
- * The table {@code [footprint]}: what lists of endpoints may take. Absent, every list is loaded.
+ * The table {@code [footprint]}: the memory that lists of endpoints may use. Without it, every list
+ * is loaded.
  */
 public final class FootprintTable extends OperatorSection<FootprintSettings> {
 
@@ -19,10 +20,10 @@
 
     @Override
     FootprintSettings read(ConfigTable table) {
-        FootprintSettings usual = FootprintSettings.DEFAULT;
+        FootprintSettings defaults = FootprintSettings.DEFAULT;
         return new FootprintSettings(
-                table.number("heap_share", MIN_SHARE, MAX_SHARE, usual.heapShare()),
-                (int) table.integer("from_nodes", 0, MAX_NODES, usual.fromNodes()),
-                CommonKeys.millis(table, "ask_again_ms", 1_000, 600_000, usual.again()));
+                table.number("heap_share", MIN_SHARE, MAX_SHARE, defaults.heapShare()),
+                (int) table.integer("from_nodes", 0, MAX_NODES, defaults.fromNodes()),
+                CommonKeys.millis(table, "ask_again_ms", 1_000, 600_000, defaults.again()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/HistorySettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistorySettings.java
@@ -3,10 +3,11 @@
 import java.nio.file.Path;
 
 /**
- * The history that a replica writes for trials of many replicas.
+ * The settings of the history that a replica writes in trials of many replicas.
  *
- * @param file takes its lines, behind what is there
- * @param clockOffset the machine's clock is taken to be this much further than it is; milliseconds
- * @param clockDrift time passes for this replica this much faster than it does; millionths
+ * @param file the file to which the lines are appended
+ * @param clockOffset the offset that is added to the machine's clock, in milliseconds
+ * @param clockDrift how much faster than the machine's clock time passes for this replica, in
+ *     millionths
  */
 public record HistorySettings(Path file, long clockOffset, int clockDrift) {}
--- a/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistoryTable.java
@@ -4,16 +4,16 @@
 import java.nio.file.Path;
 
 /**
- * The table {@code [history]}: what a replica did, written for a judge. Absent, nothing is written.
+ * The table {@code [history]}: a history of events, for a checker. Without it, nothing is written.
  */
 public final class HistoryTable extends OperatorSection<HistorySettings> {
 
     public static final HistoryTable HISTORY = new HistoryTable();
 
-    /** Sixty years and more either way: a clock that lost its battery says 1970. */
+    /** Sixty years and more in either direction: a clock whose battery failed reads 1970. */
     private static final long MAX_OFFSET = 2_000_000_000_000L;
 
-    /** One part in a thousand: what replicas allow each other's clocks. */
+    /** One part in a thousand: the drift that replicas tolerate between their clocks. */
     private static final int MAX_DRIFT = 1_000;
 
     private HistoryTable() {
--- a/daemon/src/main/java/cedarrudder/operator/LogTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/LogTable.java
@@ -4,7 +4,7 @@
 import cedarrudder.logging.LogSettings;
 import cedarrudder.toml.ConfigTable;
 
-/** The table {@code [log]}. */
+/** The table {@code [log]}: the format and the level of the log. */
 public final class LogTable extends OperatorSection<LogConfiguration> {
 
     public static final LogTable LOG = new LogTable();
@@ -19,15 +19,15 @@
 
     @Override
     LogConfiguration read(ConfigTable table) {
-        LogSettings usual = LogSettings.DEFAULT;
+        LogSettings defaults = LogSettings.DEFAULT;
         return new LogConfiguration(
                 table.choice(
                         "format", LogConfiguration.Form.class, LogConfiguration.DEFAULT.form()),
                 new LogSettings(
-                        table.choice("level", Level.class, usual.level()),
-                        (int) table.integer("lines_per_s", 0, MAX_LINES, usual.linesPerSecond()),
+                        table.choice("level", Level.class, defaults.level()),
+                        (int) table.integer("lines_per_s", 0, MAX_LINES, defaults.linesPerSecond()),
                         (int)
                                 table.integer(
-                                        "line_chars", MIN_CHARS, MAX_CHARS, usual.lineChars())));
+                                        "line_chars", MIN_CHARS, MAX_CHARS, defaults.lineChars())));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/MembershipTable.java
@@ -3,7 +3,9 @@
 import cedarrudder.membership.MembershipSettings;
 import cedarrudder.toml.ConfigTable;
 
-/** The table {@code [membership]}: which proxies of the tier live. Absent, nobody asks. */
+/**
+ * The table {@code [membership]}: which proxies of the tier are alive. Without it, none is probed.
+ */
 public final class MembershipTable extends OperatorSection<MembershipSettings> {
 
     public static final MembershipTable MEMBERSHIP = new MembershipTable();
@@ -26,31 +28,35 @@
 
     @Override
     MembershipSettings read(ConfigTable table) {
-        MembershipSettings usual = MembershipSettings.DEFAULT;
-        long period = CommonKeys.millis(table, "period_ms", MIN_PERIOD, MAX_PERIOD, usual.period());
+        MembershipSettings defaults = MembershipSettings.DEFAULT;
+        long period =
+                CommonKeys.millis(table, "period_ms", MIN_PERIOD, MAX_PERIOD, defaults.period());
         long patience =
                 CommonKeys.millis(
-                        table, "ack_patience_ms", MIN_PATIENCE, MAX_PERIOD, usual.ackTimeout());
+                        table, "ack_patience_ms", MIN_PATIENCE, MAX_PERIOD, defaults.ackTimeout());
         if (patience >= period) {
             table.problem(
                     "ack_patience_ms",
                     patience / 1_000_000 + " with period_ms = " + period / 1_000_000,
-                    "less than the period, in which others ask too");
+                    "less than the period, in which other replicas probe too");
             patience = period / 2;
         }
         return new MembershipSettings(
                 period,
                 patience,
-                (int) table.integer("helpers", 0, MAX_HELPERS, usual.helpers()),
+                (int) table.integer("helpers", 0, MAX_HELPERS, defaults.helpers()),
                 table.number(
                         "suspicion_periods",
                         MIN_SUSPICION,
                         MAX_SUSPICION,
-                        usual.suspicionMultiplier()),
-                table.number("suspicion_stretch", 1, MAX_STRETCH, usual.maxSuspicionMultiplier()),
-                (int) table.integer("confirmations", 1, MAX_CONFIRMATIONS, usual.confirmations()),
-                (int) table.integer("spread", 1, MAX_SPREAD, usual.retransmitMultiplier()),
-                (int) table.integer("worst_health", 0, MAX_HEALTH, usual.maxHealthScore()),
-                (int) table.integer("revive_periods", 1, MAX_REVIVE, usual.deadProbePeriods()));
+                        defaults.suspicionMultiplier()),
+                table.number(
+                        "suspicion_stretch", 1, MAX_STRETCH, defaults.maxSuspicionMultiplier()),
+                (int)
+                        table.integer(
+                                "confirmations", 1, MAX_CONFIRMATIONS, defaults.confirmations()),
+                (int) table.integer("spread", 1, MAX_SPREAD, defaults.retransmitMultiplier()),
+                (int) table.integer("worst_health", 0, MAX_HEALTH, defaults.maxHealthScore()),
+                (int) table.integer("revive_periods", 1, MAX_REVIVE, defaults.deadProbePeriods()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/NodesTable.java
+++ b/daemon/src/main/java/cedarrudder/operator/NodesTable.java
@@ -3,7 +3,7 @@
 import cedarrudder.toml.ConfigTable;
 import cedarrudder.transport.EndpointLimits;
 
-/** The table {@code [nodes]}. */
+/** The table {@code [nodes]}: the limits for endpoints. */
 public final class NodesTable extends OperatorSection<EndpointLimits> {
 
     public static final NodesTable NODES = new NodesTable();
@@ -14,12 +14,13 @@
 
     @Override
     EndpointLimits read(ConfigTable table) {
-        EndpointLimits usual = EndpointLimits.DEFAULT;
+        EndpointLimits defaults = EndpointLimits.DEFAULT;
         return new EndpointLimits(
-                CommonKeys.millis(table, "probe_patience_ms", 10, 10_000, usual.probeTimeout()),
-                CommonKeys.millis(table, "answer_patience_ms", 10, 60_000, usual.responseTimeout()),
-                CommonKeys.headBytes(table, usual.maxHeadBytes()),
-                CommonKeys.bodyBytes(table, usual.maxBodyBytes()),
-                CommonKeys.descriptorsShare(table, usual.descriptorShare()));
+                CommonKeys.millis(table, "probe_patience_ms", 10, 10_000, defaults.probeTimeout()),
+                CommonKeys.millis(
+                        table, "answer_patience_ms", 10, 60_000, defaults.responseTimeout()),
+                CommonKeys.headBytes(table, defaults.maxHeadBytes()),
+                CommonKeys.bodyBytes(table, defaults.maxBodyBytes()),
+                CommonKeys.descriptorsShare(table, defaults.descriptorShare()));
     }
 }
--- a/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
+++ b/daemon/src/main/java/cedarrudder/operator/OperatorFile.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 
 /**
- * The operator's file: one table a feature, each of which may be left out. Immutable.
+ * The operator's file: one optional table for each feature. Immutable.
  *
- * <p>Where there is no file, {@link #NONE} costs nothing: no class that reads TOML is loaded.
+ * <p>Without a file, {@link #NONE} costs nothing: no class that reads TOML is loaded.
  */
 public final class OperatorFile {
 
-    /** No file: every table is absent. */
+    /** The configuration without a file: every table is absent. */
     public static final OperatorFile NONE = new OperatorFile(Map.of());
 
-    /** Shares are decimals, so that their sum may be a little off. */
+    /** Tolerance for the sum of two decimal fractions, in which rounding errors occur. */
     private static final double ROUNDING = 1e-9;
 
     private final Map<String, Object> values;
@@ -27,7 +27,7 @@
         this.values = values;
     }
 
-    /** All tables that a file may have. */
+    /** Returns all tables that a file may have. */
     private static List<OperatorSection<?>> sections() {
         return List.of(
                 LogTable.LOG,
@@ -46,16 +46,16 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidFileException with all that is wrong with it
+     * @throws InvalidFileException with all problems of the file
      */
     public static OperatorFile read(Path file) throws InvalidFileException {
         return read(ConfigDocument.read(file));
     }
 
     /**
-     * Reads a text.
+     * Reads a document.
      *
-     * @throws InvalidFileException with all that is wrong with it
+     * @throws InvalidFileException with all problems of the document
      */
     public static OperatorFile read(ConfigDocument document) throws InvalidFileException {
         ConfigTable root = document.root();
@@ -73,32 +73,32 @@
         if (sharesSound) {
             operator.checkShares(root);
         }
-        operator.checkTablesBeside(root);
+        operator.checkRequiredTables(root);
         root.done();
         document.check();
         return operator;
     }
 
-    /** Some tables need another beside them. */
-    private void checkTablesBeside(ConfigTable root) {
-        requireBeside(
+    /** Reports tables whose required table is missing. */
+    private void checkRequiredTables(ConfigTable root) {
+        requireTable(
                 root,
                 AgreementTable.AGREEMENT,
                 MembershipTable.MEMBERSHIP,
-                "as copies have to know who lives");
-        requireBeside(
+                "since replicas have to know which of them are alive");
+        requireTable(
                 root,
                 DrainsTable.DRAINS,
                 AgreementTable.AGREEMENT,
-                "as copies have to agree on who leaves");
-        requireBeside(
+                "since replicas have to agree on which endpoints are drained");
+        requireTable(
                 root,
                 FailoverTable.FAILOVER,
                 AgreementTable.AGREEMENT,
-                "as copies have to agree on where calls go");
+                "since replicas have to agree on where requests go");
     }
 
-    private void requireBeside(
+    private void requireTable(
             ConfigTable root, OperatorSection<?> section, OperatorSection<?> needed, String why) {
         if (values.containsKey(section.name()) && !values.containsKey(needed.name())) {
             root.problem(
@@ -109,7 +109,8 @@
     }
 
     /**
-     * This avoids clients and endpoints together taking what discovery and the process itself need.
+     * Reports fractions of descriptors for clients and endpoints that together leave too few for
+     * discovery and the process itself.
      */
     private void checkShares(ConfigTable root) {
         double callers = of(CallersTable.CALLERS).descriptorShare();
@@ -127,13 +128,13 @@
         }
     }
 
-    /** What a table says, or what counts where it is absent. */
+    /** Returns the settings of a table, or its defaults where the table is absent. */
     public <T> T of(OperatorSection<T> section) {
         Object value = values.get(section.name());
         return value == null ? section.absent() : section.cast(value);
     }
 
-    /** The same but for one table, which says this now. */
+    /** Returns a copy in which one table has these settings. */
     public <T> OperatorFile with(OperatorSection<T> section, T value) {
         Map<String, Object> changed = new HashMap<>(values);
         changed.put(section.name(), value);
--- a/daemon/src/main/java/cedarrudder/operator/OperatorSection.java
+++ b/daemon/src/main/java/cedarrudder/operator/OperatorSection.java
@@ -3,10 +3,10 @@
 import cedarrudder.toml.ConfigTable;
 
 /**
- * One table of the operator's file and its reader. A feature that is set there adds a class of this
- * kind and names it in {@link OperatorFile}.
+ * One table of the operator's file and its reader. A new feature adds a subclass and lists it in
+ * {@link OperatorFile}.
  *
- * @param <T> what the table says, as the feature takes it; immutable
+ * @param <T> the settings of the table in the form that the feature uses; immutable
  */
 public abstract class OperatorSection<T> {
 
@@ -15,9 +15,11 @@
     private final T absent;
 
     /**
+     * Creates the section.
+     *
      * @param name the table's name
-     * @param absent what counts where the file has no such table: the feature is off, or as it was
-     *     before there was a table
+     * @param absent the settings that apply where the file has no such table: the feature is off,
+     *     or unchanged from before the table was introduced
      */
     OperatorSection(String name, Class<T> type, T absent) {
         this.name = name;
@@ -37,6 +39,6 @@
         return type.cast(value);
     }
 
-    /** Reads the table, and reports to it what is wrong and what contradicts itself. */
+    /** Reads the table, and reports wrong and contradictory values to it. */
     abstract T read(ConfigTable table);
 }
--- a/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyProcess.java
@@ -101,9 +101,11 @@
     }
 
     /**
-     * Reads both files again. Each is applied on its own: a file that can't be used leaves its settings unchanged and does not affect the other file.
+     * Reads both files again. Each is applied on its own: a file that can't be used leaves its
+     * settings unchanged and does not affect the other file.
      *
-     * <p>The files are read on the thread of the signal, since the loop would block meanwhile, and by one such thread at a time ({@link ReloadSignal}).
+     * <p>The files are read on the thread of the signal, since the loop would block meanwhile, and
+     * by one such thread at a time ({@link ReloadSignal}).
      */
     private static void reload(ProxyServer proxy, String file, ServeOptions options) {
         proxy.reload(() -> readConfiguration(file));
@@ -117,7 +119,8 @@
     }
 
     /**
-     * Returns the folder in which this proxy persists its state, named after the address at which its clients connect: several proxies may share a folder for temporary files.
+     * Returns the folder in which this proxy persists its state, named after the address at which
+     * its clients connect: several proxies may share a folder for temporary files.
      */
     private static Path stateFolder(ProxyConfiguration configuration) {
         String folder = System.getenv("TMPDIR");
--- a/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameDecoder.java
@@ -16,20 +16,21 @@
 import java.util.List;
 
 /**
- * Reads batches of events. Offsets given to its readers count from the first byte of the record at
- * hand.
+ * Reads batches of events. The offsets passed to the field readers count from the first byte of the
+ * current record.
  */
 final class FrameDecoder {
 
     /**
-     * What is read at once at most, so that no length field can ask for memory that never fills.
+     * The maximum number of bytes for which memory is allocated ahead of the input, so that a
+     * length field can't reserve memory that is never filled.
      */
     private static final int CHUNK = 1 << 16;
 
     private static final int MAX_VALUES = 4;
     private static final int FIRST_STATUS = 249;
 
-    /** Outcomes by code, from the first. */
+    /** Outcomes by code, starting at {@link #FIRST_STATUS}. */
     private static final Outcome[] OUTCOMES = {
         Outcome.NOT_STARTED,
         Outcome.CANCELLED,
@@ -58,17 +59,21 @@
         return ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Reads the next batch; false at the end of the input. */
+    /** Reads the next batch; returns false at the end of the input. */
     boolean next() throws IOException {
         frameNumber++;
         record = -1;
-        int got = in.readNBytes(bytes, 0, SimulatorWire.BATCH_HEADER);
-        if (got == 0) {
+        int bytesRead = in.readNBytes(bytes, 0, SimulatorWire.BATCH_HEADER);
+        if (bytesRead == 0) {
             return false;
         }
-        if (got < SimulatorWire.BATCH_HEADER) {
+        if (bytesRead < SimulatorWire.BATCH_HEADER) {
             throw new SimulatorWireException(
-                    "batch " + frameNumber + ": input ends after " + got + " bytes of its header");
+                    "batch "
+                            + frameNumber
+                            + ": input ends after "
+                            + bytesRead
+                            + " bytes of its header");
         }
         long size = Integer.toUnsignedLong(frame.getInt(0));
         now = frame.getLong(4);
@@ -94,28 +99,28 @@
     }
 
     private void read() throws IOException {
-        int have = 0;
-        while (have < length) {
-            if (have == bytes.length) {
+        int received = 0;
+        while (received < length) {
+            if (received == bytes.length) {
                 bytes = Arrays.copyOf(bytes, (int) Math.min(length, 2L * bytes.length));
                 frame = wrap(bytes);
             }
-            int got = in.read(bytes, have, Math.min(length, bytes.length) - have);
-            if (got < 0) {
+            int bytesRead = in.read(bytes, received, Math.min(length, bytes.length) - received);
+            if (bytesRead < 0) {
                 throw new SimulatorWireException(
                         "batch "
                                 + frameNumber
                                 + ": input ends after "
-                                + have
+                                + received
                                 + " of "
                                 + length
                                 + " bytes");
             }
-            have += got;
+            received += bytesRead;
         }
     }
 
-    /** Moves to the next record; false after the last. */
+    /** Moves to the next record; returns false after the last one. */
     boolean nextRecord() {
         record++;
         at = record * SimulatorWire.EVENT;
@@ -151,7 +156,7 @@
         return frame.getLong(at + offset);
     }
 
-    /** Where a span of the tail begins in the frame. */
+    /** Returns the position in the frame at which a span of the tail begins. */
     private int span(int offset, int unit) {
         long from = u32(offset);
         long size = u32(offset + 4) * unit;
@@ -225,7 +230,8 @@
     }
 
     /**
-     * A load report, its values in the order that the settings name; null when none is attached.
+     * Reads a load report, with its values in the order that the settings name; returns null where
+     * none is attached.
      */
     LoadReport load(int offset, LoadReportFields fields) {
         int count = u8(offset);
--- a/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
+++ b/daemon/src/main/java/cedarrudder/simulator/FrameEncoder.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Gathers the actions of one reply and writes it. */
+/** Collects the actions of one reply and writes the reply. */
 final class FrameEncoder {
 
     private ByteBuffer records = buffer(1 << 16);
@@ -20,15 +20,16 @@
         return ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    private static ByteBuffer capacity(ByteBuffer buffer, int more) {
-        if (buffer.remaining() >= more) {
+    private static ByteBuffer ensureCapacity(ByteBuffer buffer, int additionalBytes) {
+        if (buffer.remaining() >= additionalBytes) {
             return buffer;
         }
-        ByteBuffer larger = buffer(Math.max(2 * buffer.capacity(), buffer.position() + more));
+        ByteBuffer larger =
+                buffer(Math.max(2 * buffer.capacity(), buffer.position() + additionalBytes));
         return larger.put(buffer.flip());
     }
 
-    /** Forgets all, for the next reply. */
+    /** Removes all actions, for the next reply. */
     void clear() {
         records.clear().position(SimulatorWire.REPLY_HEADER);
         tail.clear();
@@ -36,31 +37,31 @@
         current = -1;
     }
 
-    /** Writes the reply in one piece and flushes it. */
+    /** Writes the reply at once and flushes it. */
     void writeTo(OutputStream out) throws IOException {
         records.putInt(0, count);
         records.putInt(4, records.position() - SimulatorWire.REPLY_HEADER + tail.position());
-        records = capacity(records, tail.position());
+        records = ensureCapacity(records, tail.position());
         records.put(tail.flip());
         out.write(records.array(), 0, records.position());
         out.flush();
     }
 
     /**
-     * Starts a record of this instance and returns its place; the buffer may be another one
+     * Starts a record of this instance and returns its position; the buffer may have been replaced
      * afterwards.
      */
     private int record(long instance, int code) {
         if (instance != current) {
             current = instance;
-            int at = raw(SimulatorWire.AS);
+            int at = appendRecord(SimulatorWire.AS);
             records.putInt(at + 1, (int) instance);
         }
-        return raw(code);
+        return appendRecord(code);
     }
 
-    private int raw(int code) {
-        records = capacity(records, SimulatorWire.ACTION);
+    private int appendRecord(int code) {
+        records = ensureCapacity(records, SimulatorWire.ACTION);
         int at = records.position();
         Arrays.fill(records.array(), at, at + SimulatorWire.ACTION, (byte) 0);
         records.put(at, (byte) code);
@@ -72,17 +73,17 @@
     private void span(int at, byte[] content) {
         records.putInt(at, tail.position());
         records.putInt(at + 4, content.length);
-        tail = capacity(tail, content.length);
+        tail = ensureCapacity(tail, content.length);
         tail.put(content);
     }
 
-    /** Declares that the balancer of this instance failed. */
+    /** Reports that the balancer of this instance failed. */
     void bug(long instance, String message) {
         int at = record(instance, SimulatorWire.BUG);
         span(at + 1, message.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The actions of one instance; they go into the reply being gathered. */
+    /** Returns the actions of one instance, which are added to the current reply. */
     Actions actionsOf(long instance) {
         return new InstanceActions(instance);
     }
--- a/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorHost.java
@@ -20,30 +20,31 @@
 import java.util.SplittableRandom;
 
 /**
- * Hosts balancer replicas on the simulator's wire: batches of events on standard input, replies on
- * standard output.
+ * Runs balancer replicas for the simulator: reads batches of events from standard input and writes
+ * replies to standard output.
  */
 public final class SimulatorHost {
 
-    private record Copy(LoadBalancer balancer, LoadReportFields fields) {}
+    private record Replica(LoadBalancer balancer, LoadReportFields fields) {}
 
-    private final BalancerParameters tuning;
+    private final BalancerParameters parameters;
     private final FrameEncoder reply = new FrameEncoder();
-    private final Map<Long, Copy> replicas = new HashMap<>();
+    private final Map<Long, Replica> replicas = new HashMap<>();
     private final Map<Integer, List<LoadBalancer.Endpoint>> inventories = new HashMap<>();
     private long current = -1;
 
-    private SimulatorHost(BalancerParameters tuning) {
-        this.tuning = tuning;
+    private SimulatorHost(BalancerParameters parameters) {
+        this.parameters = parameters;
     }
 
     /**
-     * Serves standard input until it ends and returns the exit code. All replicas have this tuning.
+     * Serves standard input until it ends and returns the exit code. All replicas use the same
+     * parameters.
      */
-    public static int run(BalancerParameters tuning) {
+    public static int run(BalancerParameters parameters) {
         try {
             serve(
-                    tuning,
+                    parameters,
                     new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new FileOutputStream(FileDescriptor.out));
             return 0;
@@ -54,9 +55,9 @@
     }
 
     /** Answers batches until the input ends. */
-    static void serve(BalancerParameters tuning, InputStream in, OutputStream out)
+    static void serve(BalancerParameters parameters, InputStream in, OutputStream out)
             throws IOException {
-        SimulatorHost host = new SimulatorHost(tuning);
+        SimulatorHost host = new SimulatorHost(parameters);
         FrameDecoder batch = new FrameDecoder(in);
         while (batch.next()) {
             host.reply.clear();
@@ -80,8 +81,8 @@
         }
     }
 
-    private Copy replica(FrameDecoder batch) {
-        Copy replica = replicas.get(current);
+    private Replica replica(FrameDecoder batch) {
+        Replica replica = replicas.get(current);
         if (replica == null) {
             throw batch.error(
                     "event "
@@ -106,11 +107,12 @@
         }
         SplittableRandom random = new SplittableRandom(seed);
         LoadBalancer balancer =
-                new PrequalBalancer(settings.module(), tuning, random, reply.actionsOf(current));
-        replicas.put(current, new Copy(balancer, settings.fields()));
+                new PrequalBalancer(
+                        settings.module(), parameters, random, reply.actionsOf(current));
+        replicas.put(current, new Replica(balancer, settings.fields()));
     }
 
-    private void deliver(FrameDecoder batch, Copy replica) {
+    private void deliver(FrameDecoder batch, Replica replica) {
         Runnable event = decode(batch, replica.balancer(), replica.fields(), batch.now());
         try {
             event.run();
@@ -120,8 +122,8 @@
     }
 
     /**
-     * Reads the whole event first, so that a malformed one is not taken for a fault of the
-     * balancer.
+     * Decodes the whole event before it is delivered, so that a malformed event is not mistaken for
+     * a fault of the balancer.
      */
     private Runnable decode(
             FrameDecoder batch, LoadBalancer replica, LoadReportFields fields, long now) {
--- a/daemon/src/main/java/cedarrudder/simulator/SimulatorWire.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorWire.java
@@ -1,6 +1,8 @@
 package cedarrudder.simulator;
 
-/** Codes and sizes of the simulator's wire. */
+/**
+ * The codes and sizes of the simulator's wire format, under the names that the format gives them.
+ */
 final class SimulatorWire {
     static final int BATCH_HEADER = 16;
     static final int REPLY_HEADER = 8;
--- a/daemon/src/main/java/cedarrudder/simulator/SimulatorWireException.java
+++ b/daemon/src/main/java/cedarrudder/simulator/SimulatorWireException.java
@@ -1,6 +1,6 @@
 package cedarrudder.simulator;
 
-/** Input that is not of the wire; the message says what and where. */
+/** Thrown for input that violates the wire format; the message states what is wrong and where. */
 final class SimulatorWireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/daemon/src/main/java/cedarrudder/simulator/package-info.java
+++ b/daemon/src/main/java/cedarrudder/simulator/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The host of the users' simulator: the same decisions on its wire, over standard input and output.
+ * The host for the users' simulator: the same decisions, in the simulator's wire format over
+ * standard input and output.
  *
  * <p>Uses {@code balancer} and {@code protocol}.
  */
--- a/daemon/src/test/java/cedarrudder/operator/OperatorFileTest.java
+++ b/daemon/src/test/java/cedarrudder/operator/OperatorFileTest.java
@@ -28,7 +28,10 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** The operator's file: what it says, what counts without it, and all that is wrong with it. */
+/**
+ * Tests the operator's file: its settings, the defaults without it, and the reports of all its
+ * errors.
+ */
 public class OperatorFileTest {
 
     private static final Path SHIPPED = Path.of("deploy", "operator.toml");
@@ -37,7 +40,7 @@
         return OperatorFile.read(ConfigDocument.parse("o.toml", text));
     }
 
-    private static void assertUsual(OperatorFile operator) {
+    private static void assertDefaults(OperatorFile operator) {
         assertEquals(operator.of(LogTable.LOG), LogConfiguration.DEFAULT);
         assertEquals(operator.of(CallersTable.CALLERS), ClientLimits.DEFAULT);
         assertEquals(operator.of(NodesTable.NODES), EndpointLimits.DEFAULT);
@@ -45,13 +48,13 @@
     }
 
     @Test
-    public void theShippedFileChangesNothingAndShowsWhatCountsWithoutIt() throws Exception {
+    public void shippedFileStatesTheDefaults() throws Exception {
         String text = Files.readString(SHIPPED);
-        assertUsual(OperatorFile.NONE);
-        assertUsual(read(text));
+        assertDefaults(OperatorFile.NONE);
+        assertDefaults(read(text));
         String uncommented = text.replaceAll("(?m)^#(?=[\\[a-z])", "");
         assertTrue(uncommented.contains("\n[log]\nformat = "), uncommented);
-        assertUsual(read(uncommented));
+        assertDefaults(read(uncommented));
         assertNull(read(text).of(BudgetTable.BUDGET));
         assertEquals(read(uncommented).of(BudgetTable.BUDGET), BudgetSettings.of(""));
         assertNull(read(text).of(HistoryTable.HISTORY));
@@ -75,7 +78,7 @@
     }
 
     @Test
-    public void theFootprintIsOffWithoutItsTable() throws Exception {
+    public void footprintIsOffWithoutItsTable() throws Exception {
         assertNull(read(Files.readString(SHIPPED)).of(FootprintTable.FOOTPRINT));
         assertEquals(read("[footprint]\n").of(FootprintTable.FOOTPRINT), FootprintSettings.DEFAULT);
         assertEquals(
@@ -89,9 +92,11 @@
         assertEquals(bad.problems().size(), 2, bad.problems().toString());
     }
 
-    /** Detects a zone in two regions, and times of which one makes the other void. */
+    /**
+     * A zone in two regions is reported, and so are times of which one makes the other ineffective.
+     */
     @Test
-    public void failoverSaysAllThatContradictsItself() throws Exception {
+    public void failoverReportsAllContradictions() throws Exception {
         assertEquals(
                 read("[failover]\n[membership]\n[agreement]\n").of(FailoverTable.FAILOVER),
                 FailoverSettings.DEFAULT);
@@ -124,8 +129,8 @@
                 bad.problems().stream().map(Object::toString).sorted().toList(),
                 Stream.of(
                                 "o.toml:1: failover: found no [agreement]; allowed: a table"
-                                        + " [agreement] beside it, as copies have to agree on where"
-                                        + " calls go",
+                                        + " [agreement] beside it, since replicas have to agree on"
+                                        + " where requests go",
                                 "o.toml:1: failover.evidence_age_ms: found 2500 with period_ms ="
                                         + " 3000; allowed: two periods or more",
                                 "o.toml:3: failover.target_share: found 1.5; allowed: a number from"
@@ -144,7 +149,7 @@
     }
 
     @Test
-    public void membershipMayNotWaitForAnAnswerForLongerThanItsPeriod() throws Exception {
+    public void membershipRejectsAnAckTimeoutOfAWholePeriod() throws Exception {
         try {
             read("[membership]\nperiod_ms = 200\nack_patience_ms = 200\nhelper = 1\n");
             throw new AssertionError("taken");
@@ -153,13 +158,13 @@
             assertEquals(
                     e.problems().get(0).toString(),
                     "o.toml:3: membership.ack_patience_ms: found 200 with period_ms = 200; allowed:"
-                            + " less than the period, in which others ask too");
+                            + " less than the period, in which other replicas probe too");
             assertTrue(e.problems().get(1).toString().contains("helpers"), e.problems().toString());
         }
     }
 
     @Test
-    public void agreementNeedsMembershipAndTimesThatFitOneAnother() throws Exception {
+    public void agreementRequiresMembershipAndConsistentTimes() throws Exception {
         InvalidFileException bad =
                 expectThrows(
                         InvalidFileException.class,
@@ -216,7 +221,7 @@
     }
 
     @Test
-    public void eachKeyCounts() throws Exception {
+    public void eachKeySetsItsValue() throws Exception {
         OperatorFile operator =
                 read(
                         """
@@ -280,7 +285,7 @@
     }
 
     @Test
-    public void allErrorsAreFoundInOneRun() {
+    public void allErrorsAreReportedAtOnce() {
         InvalidFileException bad =
                 expectThrows(
                         InvalidFileException.class,
@@ -328,13 +333,13 @@
                                 + " retry_least_per_s = 0; allowed: 0, since these allow no further"
                                 + " attempt",
                         "o.toml:16: budget.tries_without_fields: found 2 with tries = 1; allowed:"
-                                + " no more than tries, which a call with fields gets",
+                                + " no more than tries, which a request with fields gets",
                         "o.toml:17: budget.keep_tries: found 3 with tries = 1; allowed: no more"
-                                + " than tries, of which they are kept"));
+                                + " than tries, of which they are reserved"));
     }
 
     @Test
-    public void aShareThatOneTableSetsIsWeighedWithWhatCountsForTheOther() throws Exception {
+    public void descriptorShareIsCheckedAgainstTheDefaultOfTheOtherTable() throws Exception {
         InvalidFileException bad =
                 expectThrows(
                         InvalidFileException.class,
--- a/daemon/src/test/java/cedarrudder/simulator/Frames.java
+++ b/daemon/src/test/java/cedarrudder/simulator/Frames.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Builds batches for tests, and takes replies apart. */
+/** Builds batches for tests and decodes replies. */
 final class Frames {
 
     static final String SETTINGS =
@@ -57,7 +57,7 @@
                 SimulatorWire.NEW_INSTANCE, r -> r.putLong(seed).putInt(at).putInt(text.length));
     }
 
-    /** An inventory of ready endpoints with these ids. */
+    /** Adds an inventory of ready endpoints with these ids. */
     Frames inventory(int number, int... ids) {
         int at = tail.size();
         for (int id : ids) {
@@ -106,7 +106,9 @@
         return frame.array();
     }
 
-    /** The actions of all replies, one line each, with the instance they are of. */
+    /**
+     * Returns the actions of all replies, one line each, with the instance to which they belong.
+     */
     static List<String> actions(byte[] output) {
         List<String> lines = new ArrayList<>();
         ByteBuffer all = ByteBuffer.wrap(output).order(ByteOrder.LITTLE_ENDIAN);
--- a/daemon/src/test/java/cedarrudder/simulator/JarIT.java
+++ b/daemon/src/test/java/cedarrudder/simulator/JarIT.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The built jar, run as its users run it. */
+/** Runs the built jar as users run it. */
 class JarIT {
     private static final long NOW = 1_000_000_000L;
 
@@ -33,7 +33,8 @@
         try (OutputStream in = process.getOutputStream()) {
             in.write(input);
         } catch (IOException e) {
-            // It may have ended without reading; what it says and its exit code tell.
+            // The process may have exited without reading its input; its output and exit code show
+            // that.
         }
         byte[] out = process.getInputStream().readAllBytes();
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -52,7 +53,7 @@
     }
 
     @Test
-    void servesAnExchangeAndEndsWithItsInput() throws Exception {
+    void servesAnExchangeAndExitsAtTheEndOfInput() throws Exception {
         for (String[] arguments :
                 new String[][] {{"adapter"}, {"adapter", "--set", "max-age-ms=1500"}}) {
             Run run = run(exchange(), arguments);
@@ -63,7 +64,7 @@
     }
 
     @Test
-    void saysInOneLineWhatIsWrongWithItsInput() throws Exception {
+    void reportsInvalidInputInOneLine() throws Exception {
         Run run = run(Arrays.copyOf(exchange(), 100), "adapter");
         assertEquals(1, run.exit);
         assertEquals(0, run.out.length);
@@ -72,7 +73,7 @@
     }
 
     @Test
-    void saysWhatIsWrongWithItsArgumentsBeforeTheUsage() throws Exception {
+    void reportsInvalidArgumentsBeforeTheUsage() throws Exception {
         String[][] wrong = {
             {},
             {"simhost"},
@@ -130,7 +131,7 @@
     }
 
     @Test
-    void tellsItsVersionAndItsUsageWhereAsked() throws Exception {
+    void printsVersionAndUsageOnRequest() throws Exception {
         Run version = run(new byte[0], "version");
         assertEquals(0, version.exit, version.err);
         String said = new String(version.out, StandardCharsets.UTF_8);
--- a/daemon/src/test/java/cedarrudder/simulator/SimulatorHostTest.java
+++ b/daemon/src/test/java/cedarrudder/simulator/SimulatorHostTest.java
@@ -22,7 +22,7 @@
 
 class SimulatorHostTest {
     private static final long NOW = 1_000_000_000L;
-    private static final int BIG_ID = 0xFFFFFFF0; // above 2^31 when read as it should be
+    private static final int BIG_ID = 0xFFFFFFF0; // above 2^31 when read as an unsigned number
 
     private static byte[] serve(byte[]... batches) throws IOException {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void endsQuietlyWhereTheInputEndsBetweenBatches() throws IOException {
+    void returnsNormallyWhereInputEndsBetweenBatches() throws IOException {
         assertEquals(0, serve().length);
     }
 
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void actsAlikeInOneProcessAndSpread() throws IOException {
+    void actsTheSameInOneProcessAndInSeveral() throws IOException {
         byte[] one =
                 new Frames(NOW)
                         .to(1)
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void takesALongBatch() throws IOException {
+    void acceptsALongBatch() throws IOException {
         Frames frames = started();
         for (int id = 0; id < 30_000; id++) {
             frames.knock(id, NOW + 1000);
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void reportsAFaultOfTheModule() throws IOException {
+    void reportsAFaultOfTheBalancer() throws IOException {
         byte[] out =
                 serve(
                         started()
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void ignoresOddButLegalEvents() throws IOException {
+    void ignoresUnusualButValidEvents() throws IOException {
         byte[] out =
                 serve(
                         started()
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void rejectsImpossibleLengthsWithoutReservingThem() {
+    void rejectsImpossibleLengthsWithoutAllocatingMemory() {
         byte[] frame = started().bytes();
         ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN).putInt(0, -1);
         assertRejected("impossible length", frame);
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void rejectsWhatIsNotOfTheWire() {
+    void rejectsInputThatViolatesTheWireFormat() {
         assertRejected("unknown event code 42", started().record(42, r -> {}).bytes());
         assertRejected("never started", new Frames(NOW).to(8).knock(1, 0).bytes());
         assertRejected("never started", new Frames(NOW).knock(1, 0).bytes());
@@ -234,7 +234,7 @@
     }
 
     @Test
-    void rejectsSettingsThatAreNotSo() {
+    void rejectsInvalidSettings() {
         assertRejected("not JSON", new Frames(NOW).to(1).start(1, "{\"balancers\": ").bytes());
         assertRejected("not a JSON object", new Frames(NOW).to(1).start(1, "[1]").bytes());
         assertRejected(
@@ -261,7 +261,7 @@
     }
 
     @Test
-    void readsReportsInTheOrderThatTheSettingsName() {
+    void readsLoadReportValuesInTheOrderOfTheSettings() {
         LoadReportFields fields = SettingsReader.read(JsonObject.parse(Frames.SETTINGS)).fields();
         double[] values = {50, 4, 12};
         var load = fields.load(i -> values[i]);
--- a/stress/src/main/java/cedarrudder/program/HandOvers.java
+++ b/stress/src/main/java/cedarrudder/program/HandOvers.java
@@ -16,33 +16,32 @@
 import org.openjdk.jcstress.infra.results.ZZ_Result;
 
 /**
- * Each true hand-over between threads of the daemon, under stress. All else runs on the loop alone.
+ * Stress tests of each true hand-over between threads of the daemon. All other code runs on the loop alone.
  */
 public final class HandOvers {
 
     private HandOvers() {}
 
     /**
-     * The start joins the clients' address while SIGTERM comes: never both as if the other had not
-     * been.
+     * The start begins to listen on the clients' address while SIGTERM arrives: one of the two must observe the other.
      */
     @JCStressTest
-    @Outcome(id = "true, true", expect = ACCEPTABLE, desc = "joined first: callers are waited for")
-    @Outcome(id = "false, false", expect = ACCEPTABLE, desc = "ended first: nobody came")
+    @Outcome(id = "true, true", expect = ACCEPTABLE, desc = "joined first: the shutdown waits for clients")
+    @Outcome(id = "false, false", expect = ACCEPTABLE, desc = "ended first: no client connected")
     @Outcome(
             expect = FORBIDDEN,
-            desc = "callers came and were not waited for, or the other way round")
+            desc = "clients connected and the shutdown did not wait, or the other way round")
     @State
     public static class StartAndSignal {
         private final StartupGate gate = new StartupGate();
 
-        /** The thread that starts. */
+        /** Runs on the thread that starts the proxy. */
         @Actor
         public void start(ZZ_Result result) {
             result.r1 = gate.join();
         }
 
-        /** The shutdown hook. */
+        /** Runs in the shutdown hook. */
         @Actor
         public void signal(ZZ_Result result) {
             result.r2 = gate.end();
@@ -50,8 +49,7 @@
     }
 
     /**
-     * The loop and another thread write a line each while the log's thread writes: none is lost or
-     * mixed.
+     * The loop and another thread write a line each while the log's thread writes: none is lost or mixed.
      */
     @JCStressTest
     @Outcome(id = "11, 1", expect = ACCEPTABLE, desc = "both lines, whole")
@@ -62,55 +60,54 @@
         private final AsyncLogWriter log =
                 new AsyncLogWriter(new PrintStream(out, true, StandardCharsets.UTF_8));
 
-        /** The loop. */
+        /** Runs on the loop. */
         @Actor
         public void loop() {
             log.offer("loop");
         }
 
-        /** Another thread, such as a signal's. */
+        /** Runs on another thread, such as a signal's. */
         @Actor
         public void other() {
             log.offer("other");
         }
 
-        /** The shutdown hook, once the loop has ended. */
+        /** Runs in the shutdown hook, once the loop has ended. */
         @Arbiter
         public void end(II_Result result) {
             log.stop();
-            String said = out.toString(StandardCharsets.UTF_8);
-            result.r1 = said.length();
-            result.r2 = said.equals("loop\nother\n") || said.equals("other\nloop\n") ? 1 : 0;
+            String written = out.toString(StandardCharsets.UTF_8);
+            result.r1 = written.length();
+            result.r2 = written.equals("loop\nother\n") || written.equals("other\nloop\n") ? 1 : 0;
         }
     }
 
     /**
-     * A signal beside one whose files are being read: what changed before it is read by one of
-     * them.
+     * A signal arrives while the files are read for another one: one of the two reads what changed before it.
      */
     @JCStressTest
     @Outcome(id = "1", expect = ACCEPTABLE, desc = "the change was read")
     @Outcome(expect = FORBIDDEN, desc = "the last change was read by none")
     @State
     public static class SignalsAndTheirFile {
-        private final ReloadSignal hangups = new ReloadSignal();
+        private final ReloadSignal reloadSignal = new ReloadSignal();
         private volatile int file;
         private int read;
 
-        /** One signal, before which nothing had changed. */
+        /** Handles a signal before which nothing had changed. */
         @Actor
         public void first() {
-            hangups.onSignal(() -> read = file);
+            reloadSignal.onSignal(() -> read = file);
         }
 
-        /** The file changes, and then a second signal comes. */
+        /** Changes the file, and then handles a second signal. */
         @Actor
         public void second() {
             file = 1;
-            hangups.onSignal(() -> read = file);
+            reloadSignal.onSignal(() -> read = file);
         }
 
-        /** What counts in the end. */
+        /** Reports the state that was read last. */
         @Arbiter
         public void end(I_Result result) {
             result.r1 = read;
