--- a/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
@@ -19,13 +19,13 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** What operators ask over their own address, and what clients see of it. */
+/** Requests of operators on the operators' address, and their effect on clients. */
 public class AdminOperationsTest {
 
     private static final int CROWD = 40;
 
     @Test
-    public void callsThatAreWrongGetWhatIsWrongAndDisturbNothing() throws Exception {
+    public void invalidOperatorRequestsGetAnErrorStatusAndClientsAreStillServed() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
             assertEquals(world.status("GET", "/-/ready"), 200);
             assertEquals(world.status("GET", "/-/nothing"), 404);
@@ -43,39 +43,42 @@
         }
     }
 
-    /** Detects those who say nothing, or half a call, shutting out those who say all of it. */
+    /**
+     * Operator connections that send nothing or half a request must not lock out complete requests.
+     */
     @Test
-    public void aCrowdOfSilentAndHalfCallsLeavesRoomForAWholeOne() throws Exception {
+    public void aCompleteRequestIsAnsweredBesideManySilentAndPartialOnes() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
             List<Caller> crowd = new ArrayList<>();
             for (int i = 0; i < CROWD; i++) {
                 crowd.add(world.operator().send(i % 2 == 0 ? "" : "GET /-/rea"));
             }
             assertEquals(world.status("GET", "/-/ready"), 200);
-            // Those that said nothing made room first; of the others as many are left as the bound
-            // allows.
+            // Connections that sent nothing were closed first; of the others as many remain as the
+            // bound allows.
             int answered = 0;
             for (int i = 1; i < CROWD; i += 2) {
                 try (Caller half = crowd.get(i)) {
                     Received answer = half.send("dy HTTP/1.1\r\nHost: ops\r\n\r\n").read();
                     answered += answer == null ? 0 : 1;
                 } catch (SocketException e) {
-                    // it had made room
+                    // closed to free a connection
                 }
             }
             assertTrue(
                     answered > 0 && answered <= AdminListener.MAX_CONNECTIONS,
-                    answered + " were left");
+                    answered + " connections remained");
             for (Caller caller : crowd) {
                 caller.close();
             }
         }
     }
 
-    /** Detects clients staying with a proxy that operators want to be alone with. */
+    /** Clients must not stay connected to a proxy that operators drain. */
     @Test
-    public void aDrainSendsClientsAwayAndLosesNothingAndResumeTakesItBack() throws Exception {
-        // With this much patience only the drain closes what is idle, or silent.
+    public void drainClosesClientConnectionsWithoutLosingRequestsAndResumeEndsIt()
+            throws Exception {
+        // With timeouts this long only the drain closes idle or silent connections.
         Path patient = Files.createTempFile("operator", ".toml");
         Files.writeString(
                 patient, "[callers]\nidle_patience_ms = 60000\nrequest_patience_ms = 60000\n");
@@ -89,9 +92,9 @@
             assertEquals(world.status("POST", "/-/drain"), 200);
             assertEquals(health(world), "HTTP/1.1 503 Service Unavailable");
             assertEquals(world.status("POST", "/-/drain"), 200);
-            // The process can serve all the same.
+            // The process is still able to serve.
             assertEquals(world.status("GET", "/-/ready"), 200);
-            // The front still brings some, which are served.
+            // Requests that still arrive are served.
             serve(world, "late");
             assertNull(idle.read());
             assertNull(silent.read());
@@ -109,10 +112,11 @@
     }
 
     /**
-     * Detects a ban that fails to reach work which waits, or that outlives the call that ends it.
+     * Disabling an endpoint must also apply to queued requests, and must end when the endpoint is
+     * enabled.
      */
     @Test
-    public void aDisabledNodeGetsNothingNewUntilItIsEnabled() throws Exception {
+    public void aDisabledEndpointGetsNoNewRequestsUntilItIsEnabled() throws Exception {
         try (World world = new World(2).withAdmin().start();
                 Caller caller = world.caller()) {
             assertEquals(world.status("POST", "/-/nodes/n9/disable"), 404);
@@ -131,12 +135,12 @@
             assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
             world.probesWait = true;
             assertEquals(world.status("POST", "/-/nodes/n0/enable"), 200);
-            // Asked at once, though there are no calls.
+            // Probed at once, although there are no requests.
             World.await(world.probes).reply("200 OK", "TEXT latency_ms=5, inflight=0, util=0.1");
             assertEquals(metric(world, "out_of_rotation"), 1);
             int answered = 0;
             for (int i = 0; answered == 0; i++) {
-                // Cold: now and then there is no room for one yet.
+                // The endpoint is cold: now and then it has no capacity for a request yet.
                 caller.send(World.request("lookup", "/api", "").replace("id-1", "two-" + i));
                 Received call = world.calls.poll(300, TimeUnit.MILLISECONDS);
                 if (call != null) {
@@ -149,9 +153,13 @@
         }
     }
 
-    /** Detects a yes that the next process knows nothing of. */
+    /**
+     * An operator request must not be acknowledged unless the next process finds its effect
+     * persisted.
+     */
     @Test
-    public void whatCantBeKeptIsANoAndWhatWasKeptIsTakenUp() throws Exception {
+    public void operatorRequestsThatCannotBePersistedFailAndPersistedOnesAreRestored()
+            throws Exception {
         try (World world = new World(2).withAdmin()) {
             Files.createDirectories(world.state);
             Files.createFile(world.state.resolve("disabled-n0"));
@@ -169,7 +177,7 @@
             }
         }
         try (World world = new World(1).withAdmin()) {
-            Files.createFile(world.state); // a folder can't be made there
+            Files.createFile(world.state); // a folder can't be created there
             world.start();
             assertEquals(world.status("POST", "/-/drain"), 503);
             assertEquals(world.status("POST", "/-/nodes/n0/disable"), 503);
@@ -178,9 +186,9 @@
         }
     }
 
-    /** Detects figures that tell something else than what peers saw. */
+    /** The metrics must agree with what clients and endpoints observed. */
     @Test
-    public void figuresTellWhatCallersAndNodesSaw() throws Exception {
+    public void metricsMatchWhatClientsAndEndpointsObserved() throws Exception {
         try (World world = new World(1).withAdmin().start();
                 Caller caller = world.caller()) {
             String before = page(world);
@@ -216,7 +224,7 @@
         return world.nodes.get(node).server.getLocalPort();
     }
 
-    /** Serves a request and tells at which endpoint's port it came. */
+    /** Serves a request and returns the port of the endpoint that it reached. */
     private static int served(World world, Caller caller, String id) throws Exception {
         caller.send(World.request("lookup", "/api", "").replace("id-1", id));
         Received call = world.call();
--- a/daemon/src/test/java/cedarrudder/program/AsyncLogWriterTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AsyncLogWriterTest.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The thread that writes the log. */
+/** Tests of the thread that writes the log. */
 public class AsyncLogWriterTest {
 
-    /** Detects a log that is silent for months after one moment without memory. */
+    /** One moment without memory must not silence the log for months. */
     @Test
-    public void itWritesOnAfterALineThatItHadNoMemoryFor() throws Exception {
+    public void writerContinuesAfterALineThatRanOutOfMemory() throws Exception {
         BlockingQueue<String> written = new LinkedBlockingQueue<>();
         AsyncLogWriter writer =
                 new AsyncLogWriter(
--- a/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
@@ -23,8 +23,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Bodies that are too large to be held. The target {@link #STAYS} leaves an endpoint's socket to
- * the test.
+ * Bodies that are too large to be buffered. The server of an endpoint leaves the socket of a
+ * request for the target {@link #STAYS} to the test.
  */
 public class BodyScenarioTest {
 
@@ -32,7 +32,7 @@
     private static final int MANY = 40;
     private static final String STAYS = "/stays-for-test";
 
-    /** Bytes that are told from one another, from a seed. */
+    /** Writes pseudo-random bytes from a seed, so that misplaced bytes change the checksum. */
     private static void write(OutputStream out, long seed, int length, boolean chunked, CRC32 sum)
             throws IOException {
         Random random = new Random(seed);
@@ -60,14 +60,14 @@
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("ended within a line");
+                throw new IOException("connection ended within a line");
             }
             line.write(next);
         }
         return line.toString(StandardCharsets.ISO_8859_1).strip();
     }
 
-    /** Reads a body in chunks, or of this many bytes, and returns its sum. */
+    /** Reads a body and returns its checksum; a negative length means chunked encoding. */
     private static CRC32 read(InputStream in, int length) throws IOException {
         CRC32 sum = new CRC32();
         if (length >= 0) {
@@ -89,7 +89,7 @@
         for (int left = length; left > 0; ) {
             int got = in.read(piece, 0, Math.min(left, piece.length));
             if (got < 0) {
-                throw new IOException("ended " + left + " bytes too soon");
+                throw new IOException("connection ended " + left + " bytes too soon");
             }
             sum.update(piece, 0, got);
             left -= got;
@@ -102,9 +102,9 @@
                 .replace("id-1", id);
     }
 
-    /** Detects bytes that are lost, doubled or out of order, whichever side is the slower. */
+    /** No byte may be lost, duplicated or reordered, whichever side is the slower. */
     @Test
-    public void bodiesOf32MegabytesGoThroughBothWays() throws Exception {
+    public void bodiesOf32MegabytesPassUnchangedInBothDirections() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
             for (boolean chunked : new boolean[] {true, false}) {
@@ -140,9 +140,11 @@
         return sum.getValue();
     }
 
-    /** Detects memory that grows with the bodies, and against clients that wait for one another. */
+    /**
+     * Memory must not grow with the size of the bodies, and clients must not wait for one another.
+     */
     @Test
-    public void manyLargeAnswersThatNobodyReadsAreHeldWithinTheBoundAndOthersAreServed()
+    public void manyUnreadLargeAnswersAreBufferedWithinTheBoundAndOthersAreServed()
             throws Exception {
         try (World world = new World(1).withAdmin().start()) {
             List<Caller> slow = new ArrayList<>();
@@ -162,7 +164,7 @@
                 long held =
                         JsonObject.parse(world.operator("GET", "/-/metrics").body())
                                 .integer("held_bytes");
-                assertTrue(held <= MANY * 2 * 64 * 1024, held + " bytes are held");
+                assertTrue(held <= MANY * 2 * 64 * 1024, held + " bytes are buffered");
             }
             try (Caller other = world.caller()) {
                 other.send(World.request("lookup", "/api", ""));
@@ -174,7 +176,7 @@
                 caller.close();
             }
             Await.until(
-                    "what nobody waits for is let go",
+                    "the buffers of abandoned answers are released",
                     () ->
                             JsonObject.parse(world.operator("GET", "/-/metrics").body())
                                             .integer("held_bytes")
@@ -182,9 +184,9 @@
         }
     }
 
-    /** Detects an answer that ends early and looks whole, however its end is told. */
+    /** An answer that ends early must not look whole, whatever its framing. */
     @Test
-    public void anAnswerThatBreaksOffIsVisiblyNotWhole() throws Exception {
+    public void aTruncatedAnswerIsVisiblyIncomplete() throws Exception {
         String[] framings = {"Content-Length: 200000", "Transfer-Encoding: chunked"};
         for (String version : new String[] {"HTTP/1.1", "HTTP/1.0"}) {
             for (String framing : framings) {
@@ -219,11 +221,11 @@
     }
 
     /**
-     * Detects an answer without a length that looks whole, since its client was given up as one
-     * that reads nothing: what had been written goes on to it, and then the end.
+     * An answer without a length must not look whole when the proxy gives up its client for reading
+     * nothing. The client may receive the bytes already written, and then the connection ends.
      */
     @Test
-    public void anAnswerWhoseCallerIsGivenUpIsVisiblyNotWhole() throws Exception {
+    public void anAnswerToAClientThatIsGivenUpIsVisiblyIncomplete() throws Exception {
         try (World world =
                         new World(1)
                                 .with(
@@ -239,18 +241,18 @@
             assertEquals(head.first(), "HTTP/1.1 200 OK");
             assertNull(head.field("Content-Length"));
             assertNull(head.field("Transfer-Encoding"));
-            call.awaitEnd(); // it is given up, and so is the attempt
+            call.awaitEnd(); // the proxy gives up the client and cancels the attempt
             assertThrows(SocketException.class, caller::readAll);
         }
     }
 
     /**
-     * Detects a client that reads all there is being given up as one that doesn't, since its
-     * endpoint takes longer over the answer than there is patience with clients. Another one, whose
-     * answer began later and who reads nothing of it, is given up meanwhile.
+     * A client that reads everything available must not be given up because its endpoint sends the
+     * answer more slowly than the timeout for clients that don't read. Meanwhile another client,
+     * whose answer began later and who reads none of it, is given up.
      */
     @Test
-    public void whoReadsAllOfAnAnswerThatComesSlowlyIsNotGivenUp() throws Exception {
+    public void aClientThatReadsASlowAnswerIsNotGivenUp() throws Exception {
         int length = 100_000;
         try (World world =
                         new World(1)
@@ -277,9 +279,13 @@
         }
     }
 
-    /** Detects half a request being sent again, and one that may have run being called harmless. */
+    /**
+     * Half a request must not be retried, and one that may have run must not be reported as safe to
+     * repeat.
+     */
     @Test
-    public void aRequestThatBreaksOffIsRefusedBeforeItsLastByteAndFailsAfterIt() throws Exception {
+    public void aResetAttemptIsRejectedBeforeTheLastByteOfTheBodyAndFailsAfterIt()
+            throws Exception {
         try (World world = new World(2).start();
                 Caller caller = world.caller();
                 Caller late = world.caller()) {
@@ -299,13 +305,13 @@
             read(whole.socket().getInputStream(), -1);
             whole.reset();
             assertEquals(late.read().first(), "HTTP/1.1 502 Bad Gateway");
-            assertTrue(world.calls.isEmpty(), "it was sent again");
+            assertTrue(world.calls.isEmpty(), "the request was sent again");
         }
     }
 
-    /** Detects a client that leaves within its upload keeping an endpoint waiting for the rest. */
+    /** An endpoint must not wait for the rest of an upload whose client has disconnected. */
     @Test
-    public void aCallerThatLeavesWithinItsUploadEndsTheAttempt() throws Exception {
+    public void aClientThatDisconnectsDuringItsUploadEndsTheAttempt() throws Exception {
         try (World world = new World(1).start()) {
             Received call;
             try (Caller caller = world.caller()) {
@@ -314,16 +320,16 @@
                 call = world.call();
             }
             while (call.socket().getInputStream().read() >= 0) {
-                // what had been sent
+                // the bytes already sent
             }
         } catch (java.net.SocketException e) {
-            // a reset is an end too
+            // a reset also ends the connection
         }
     }
 
-    /** Detects an answer that comes slowly being taken for one that has no end. */
+    /** An answer that arrives slowly must not be mistaken for one without an end. */
     @Test
-    public void aSmallAnswerThatIsSlowToComeIsPassedOnAsItComes() throws Exception {
+    public void aSmallSlowAnswerIsForwardedAsItArrives() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
             caller.send(World.request("lookup", STAYS, ""));
--- a/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
@@ -17,7 +17,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Budgets that travel, over sockets: what goes down, what comes up, and who speaks none of it. */
+/**
+ * Retry budgets that are propagated between tiers over sockets: the fields sent with requests, the
+ * fields returned with answers, and peers that support neither.
+ */
 public class BudgetScenarioTest {
 
     private static final String[] TIERS = {"front", "core", "link"};
@@ -43,7 +46,7 @@
                                 + "\"]");
     }
 
-    /** The figure of a key in a field; -1 where there is none. */
+    /** Returns the number of a key in a header field, or -1 if there is none. */
     private static double figure(Received message, String field, String key) {
         Matcher found =
                 Pattern.compile(";" + key + "=([0-9.]+)")
@@ -55,10 +58,10 @@
         return figure(call, "Cedar-Budget", "tries");
     }
 
-    // ---- what travels ----
+    // ---- propagation ----
 
     @Test
-    public void whatIsLeftGoesDownAndTheRestOfTheRequestStaysAsItWas() throws Exception {
+    public void theRemainingBudgetIsPropagatedAndTheRestOfTheRequestIsUnchanged() throws Exception {
         try (World world = world(0, 1).start();
                 Caller caller = world.caller()) {
             caller.send(
@@ -75,7 +78,7 @@
             assertEquals(call.field("Req-Id"), "id-1");
             assertEquals(call.field("Idempotency-Key"), "k1");
             assertEquals(call.field("Other"), "o");
-            assertEquals(call.field("Cedar-Colour"), "red", "fields that are not known pass by");
+            assertEquals(call.field("Cedar-Colour"), "red", "unknown fields are forwarded");
             assertEquals(tries(call), 2.0);
             double left = figure(call, "Cedar-Budget", "left");
             assertTrue(
@@ -88,12 +91,12 @@
             assertEquals(answer.field("Other"), "p");
             assertNull(
                     answer.field("Cedar-Result"),
-                    "a caller that speaks none of this sees none of it");
+                    "a client that sends no budget fields receives none");
         }
     }
 
     @Test
-    public void withoutTheTableFieldsOfBudgetsAreLikeAnyOthers() throws Exception {
+    public void withoutTheBudgetTableItsFieldsAreForwardedLikeAnyOthers() throws Exception {
         try (World world = plain(1, 1).start();
                 Caller caller = world.caller()) {
             String budget = "1;left=5;tries=0;grant=7";
@@ -112,11 +115,11 @@
     }
 
     /**
-     * A call that would wait for ever gets the time of its class, less what the tiers above may
-     * use.
+     * A request without a deadline would wait for ever; it gets the time of its class, less what
+     * the tiers above may use.
      */
     @Test
-    public void aCallWithoutADeadlineGetsASafeOne() throws Exception {
+    public void aRequestWithoutADeadlineGetsTheRemainingTimeOfItsClass() throws Exception {
         try (World world = world(1, 1).start();
                 Caller caller = world.caller()) {
             caller.send(
@@ -131,7 +134,7 @@
     }
 
     @Test
-    public void theTimeThatIsLeftCountsWhateverTheDeadlineSays() throws Exception {
+    public void theRemainingTimeOfTheBudgetOverridesALaterDeadline() throws Exception {
         try (World world = world(1, 1).start();
                 Caller caller = world.caller()) {
             caller.send(
@@ -146,7 +149,7 @@
     @DataProvider
     public Object[][] forged() {
         return new Object[][] {
-            // fields, the most that may be handed down
+            // fields, the max number of retries that may be passed on
             {new String[] {"Cedar-Budget: 1;left=99999999999;tries=999;worth=99;grant=1"}, 2},
             {new String[] {"Cedar-Budget: 1;left=-1;tries=-1;worth=-1;grant=-1"}, 0},
             {new String[] {"Cedar-Budget: 1;left=x;tries=y;worth=z;grant=?"}, 0},
@@ -160,7 +163,7 @@
     }
 
     @Test(dataProvider = "forged")
-    public void whateverAFieldSaysRaisesNothing(String[] fields, int max) throws Exception {
+    public void forgedFieldsNeverRaiseTheBudget(String[] fields, int max) throws Exception {
         try (World world = world(1, 1).start();
                 Caller caller = world.caller()) {
             caller.send(World.request("order", "/api", "x", fields));
@@ -177,9 +180,12 @@
 
     // ---- attempts ----
 
-    /** What may have run is never refused, and the answer comes at once, not at the deadline. */
+    /**
+     * A request that may have run is never reported as rejected, and the answer is sent at once,
+     * not at the deadline.
+     */
     @Test
-    public void aBudgetThatRunsOutAfterAnAttemptThatMayHaveRunIsAFailure() throws Exception {
+    public void aBudgetExhaustedAfterAnAttemptThatMayHaveRunIsAFailure() throws Exception {
         try (World world =
                         world(1, 3)
                                 .with(
@@ -209,7 +215,7 @@
     }
 
     @Test
-    public void whatIsSafeToRepeatIsRefusedWhenItsBudgetRunsOut() throws Exception {
+    public void aRequestThatIsSafeToRepeatIsRejectedWhenItsBudgetIsExhausted() throws Exception {
         try (World world = world(1, 2).start();
                 Caller caller = world.caller()) {
             caller.send(World.request("lookup", "/api", "", "Cedar-Budget: 1;tries=0;grant=7"));
@@ -221,9 +227,9 @@
         }
     }
 
-    /** A budget says that there may be a further attempt; the class says that there may not. */
+    /** The budget permits a further attempt, but the class forbids it. */
     @Test
-    public void whatMustNotRunTwiceIsNotSentAgainHoweverMuchIsLeft() throws Exception {
+    public void aRequestThatMustNotRunTwiceIsNotRetriedWhateverBudgetRemains() throws Exception {
         try (World world = world(0, 2).start();
                 Caller caller = world.caller()) {
             caller.send(World.request("order", "/api", "x"));
@@ -234,7 +240,7 @@
     }
 
     @Test
-    public void theSameRequestByTwoPathsSharesOneBudget() throws Exception {
+    public void theSameRequestOnTwoPathsUsesOneBudget() throws Exception {
         try (World world = world(2, 3).start();
                 Caller first = world.caller();
                 Caller second = world.caller()) {
@@ -253,16 +259,15 @@
     // ---- overload ----
 
     @Test
-    public void aRefusalFromBelowThatSaysOverloadIsNotTriedAgainAndLowersWhatIsLetIn()
-            throws Exception {
+    public void anOverloadRejectionByALowerTierIsNotRetriedAndReducesAdmission() throws Exception {
         try (World world = world(1, 3).start();
                 Caller caller = world.caller()) {
             String budget = "Cedar-Budget: 1;tries=3;grant=";
             int refused = 0;
             for (int i = 1; refused == 0; i++) {
-                assertTrue(i < 20_000, "it lets in whatever comes");
-                // Lookups are worth 1 in 300 ms and orders 2 in 1,000: orders are worth less for
-                // their work.
+                assertTrue(i < 20_000, "every request is admitted");
+                // The priority weight is 1 in 300 ms for lookups and 2 in 1,000 for orders: orders
+                // weigh less for their work.
                 caller.send(
                         World.request("lookup", "/api", "", budget + i).replace("id-1", "l" + i));
                 world.call().reply("500 Error", "", "Cedar-Result: 1;spent=0;why=overload");
@@ -272,7 +277,8 @@
                 caller.send(
                         World.request("order", "/api", "x", budget + "f" + i)
                                 .replace("id-1", "o" + i));
-                // Either it reaches an endpoint, or it is refused before any endpoint has seen it.
+                // The order either reaches an endpoint or is rejected before any endpoint has
+                // received it.
                 Nodes.daemon(() -> world.calls.add(caller.read()));
                 Received next = world.call();
                 if (next.first().startsWith("POST")) {
@@ -285,16 +291,16 @@
                 }
             }
             caller.send(World.request("lookup", "/api", "", budget + "aaaa"));
-            world.call().reply("200 OK", "the best still get in");
-            assertEquals(caller.read().body(), "the best still get in");
+            world.call().reply("200 OK", "the highest priority is still admitted");
+            assertEquals(caller.read().body(), "the highest priority is still admitted");
         }
     }
 
     // ---- loops ----
 
-    /** The endpoints of two tiers call each other's tier by mistake. */
+    /** The endpoints of two tiers send requests to each other's tier by mistake. */
     @Test
-    public void aLoopIsRefusedWhereItClosesAndItsPathIsInTheAnswerAndOnceInTheLog()
+    public void aLoopIsRejectedWhereItClosesAndItsPathIsInTheAnswerAndOnceInTheLog()
             throws Exception {
         try (World front = world(0, 1).start();
                 World core = world(1, 1).start();
@@ -317,7 +323,7 @@
                 Received answer = caller.read();
                 assertEquals(answer.first(), "HTTP/1.1 503 Service Unavailable");
                 assertEquals(answer.body(), "a loop: front > core > front\n");
-                assertEquals(seen.get(), 2 * i, "one round, and none tries again");
+                assertEquals(seen.get(), 2 * i, "one round without retries");
             }
             String line = "budget.loop_rejected path=\"front > core > front\"";
             front.awaitLog(line);
@@ -328,11 +334,11 @@
         }
     }
 
-    // ---- old and new ----
+    // ---- versions with and without budgets ----
 
-    /** An old daemon passes on what it doesn't know, and its endpoints copy it. */
+    /** An old daemon forwards unknown fields, and its endpoints copy them. */
     @Test
-    public void anOldDaemonBetweenNewOnesLetsTheFieldsPass() throws Exception {
+    public void anOldDaemonBetweenNewOnesForwardsTheBudgetFields() throws Exception {
         try (World front = world(0, 1).start();
                 World core = plain(1, 1).start();
                 World link = world(2, 1).start();
@@ -342,14 +348,14 @@
             caller.send(World.request("order", "/api", "x"));
             Received call = link.call();
             assertEquals(call.field("Cedar-Path"), "1;front,link");
-            assertEquals(tries(call), 0.0, "the last tier hands nothing down");
+            assertEquals(tries(call), 0.0, "the last tier passes no retries on");
             call.reply("200 OK", "through");
             assertEquals(caller.read().body(), "through");
         }
     }
 
     @Test
-    public void aTierWhoseFieldsWereStrippedHasABudgetOfItsOwn() throws Exception {
+    public void aTierThatReceivesNoBudgetFieldsUsesItsOwnBudget() throws Exception {
         try (World front = world(0, 1).start();
                 World core = world(1, 3).start();
                 Caller caller = front.caller()) {
@@ -363,7 +369,7 @@
             assertNotEquals(second.socket().getLocalPort(), first.socket().getLocalPort());
             second.reset();
             assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
-            assertTrue(core.calls.isEmpty(), "one further attempt and no more");
+            assertTrue(core.calls.isEmpty(), "exactly one further attempt");
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/ChainIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ChainIT.java
@@ -25,26 +25,29 @@
 import org.testng.annotations.Test;
 
 /**
- * Three tiers of the built jar, a process each, with endpoints that call down and copy the fields.
- * What is counted are the attempts that reach endpoints, for each tree: all that one first request
- * of a client causes.
+ * Three tiers of the built jar, one process each, whose endpoints send requests to the next tier
+ * and copy the budget fields. Counts the attempts that reach the endpoints of each tier for each
+ * tree, that is for everything that one first request of a client causes.
  */
 public class ChainIT {
 
     private static final int TIERS = 3;
     private static final int NODES = 4;
 
-    /** Calls that an endpoint of each tier makes to the next, one after another. */
+    /**
+     * The number of requests that an endpoint of each tier sends to the next tier, one after
+     * another.
+     */
     private static final int[] CALLS = {2, 1, 0};
 
     private static final int TRIES = 3;
 
-    /** Attempts and calls of one tree, by tier. */
+    /** The attempts and requests of one tree, by tier. */
     private static final class Tree {
         final AtomicIntegerArray attempts = new AtomicIntegerArray(TIERS);
         final AtomicIntegerArray calls = new AtomicIntegerArray(TIERS);
 
-        /** Attempts beyond the first one of each call. */
+        /** Returns the number of attempts beyond the first one of each request. */
         int further() {
             int further = 0;
             for (int i = 0; i < TIERS; i++) {
@@ -54,7 +57,10 @@
         }
     }
 
-    /** The chain: worlds without a proxy in this process, and the processes before them. */
+    /**
+     * The chain of tiers: for each tier the endpoints and discovery in this process, and a proxy
+     * process in front of them.
+     */
     private static final class Chain implements AutoCloseable {
         final List<World> worlds = new ArrayList<>();
         final List<Process> processes = new ArrayList<>();
@@ -117,7 +123,7 @@
             Nodes.pass(call, answer, true);
         }
 
-        /** A first request of a client; what came of it. */
+        /** Sends a client's first request and returns its answer. */
         Received ask(Caller caller, String kind, int number) throws IOException {
             String name = kind + "-" + number;
             trees.computeIfAbsent(name, added -> new Tree()).calls.incrementAndGet(0);
@@ -128,7 +134,7 @@
             return caller.read();
         }
 
-        /** Whether a request was rejected by the first proxy before any endpoint had seen it. */
+        /** Returns whether the first proxy rejected a request before any endpoint received it. */
         boolean unsent(String kind, int number) {
             return trees.get(kind + "-" + number).attempts.get(0) == 0;
         }
@@ -170,22 +176,22 @@
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         Await.line(
-                "a start of the chain's proxy",
+                "the start of a proxy of the chain",
                 process,
                 lines,
                 line -> line.contains("proxy.started"));
-        // Read on, so that a full pipe never stops the proxy.
+        // Keeps reading, so that a full pipe never blocks the proxy.
         Nodes.daemon(() -> lines.lines().forEach(each -> {}));
     }
 
-    /** What a run came to; attempts are counted where they reach endpoints. */
+    /** The result of a run; attempts are counted where they reach endpoints. */
     private record Run(double[] multiples, int max, int served) {
 
         @Override
         public String toString() {
-            return "attempts a first try "
+            return "attempts per first attempt "
                     + Arrays.toString(multiples)
-                    + ", most further attempts of a tree "
+                    + ", max further attempts of a tree "
                     + max
                     + ", served "
                     + served;
@@ -213,11 +219,12 @@
     }
 
     /**
-     * What fails at the last tier is tried again there, and then a tier up with all below, and so
-     * on.
+     * A request that fails at the last tier is retried there, then by the tier above with
+     * everything below it, and so on.
      */
     @Test
-    public void oneFirstRequestCostsNoMoreThanItsBudgetWhereAllAttemptsFail() throws Exception {
+    public void oneFirstRequestCausesNoMoreRetriesThanItsBudgetWhenAllAttemptsFail()
+            throws Exception {
         for (boolean budgets : new boolean[] {true, false}) {
             try (Chain chain = new Chain(budgets, call -> call.reply("500 Error", ""))) {
                 Run run = run(chain, 20);
@@ -229,11 +236,11 @@
     }
 
     /**
-     * One of four endpoints of the last tier answers after 400 ms: each tier finds its answers
-     * late.
+     * One of four endpoints of the last tier answers after 400 ms, so that each tier finds its
+     * answers late.
      */
     @Test
-    public void attemptsAtEachTierStayWithinTheStatedMultipleWhenALastTierNodeTurnsSlow()
+    public void attemptsAtEachTierStayWithinTheStatedMultipleWhenALastTierEndpointIsSlow()
             throws Exception {
         int requests = 80;
         for (boolean budgets : new boolean[] {true, false}) {
@@ -241,11 +248,11 @@
             try (Chain chain = new Chain(budgets, call -> answerLater(made[0], call))) {
                 made[0] = chain;
                 Run run = run(chain, requests);
-                System.out.println("a slow node, budgets " + budgets + ": " + run);
+                System.out.println("a slow endpoint, budgets " + budgets + ": " + run);
                 double first = requests;
                 for (int tier = 0; tier < TIERS && budgets; tier++) {
-                    // The stated bound: a share of 0.2, and 5 in a window; the run takes less than
-                    // three.
+                    // The stated bound: a retry fraction of 0.2, and 5 in a window; the run takes
+                    // less than three windows.
                     assertTrue(run.multiples[tier] <= 1.2 + 15 / first, run.toString());
                     first *= CALLS[tier];
                 }
@@ -255,11 +262,12 @@
     }
 
     /**
-     * Work that the last tier can't do is rejected by the first, the least worth first, and let in
-     * again.
+     * Work that the last tier can't do is rejected by the first tier, lowest priority weight first,
+     * and admitted again after the overload.
      */
     @Test
-    public void overloadOfTheLastTierIsFeltAtTheFirstAndOverWhenItIs() throws Exception {
+    public void theFirstTierShedsLoadWhileTheLastTierIsOverloadedAndNotAfterwards()
+            throws Exception {
         AtomicBoolean overloaded = new AtomicBoolean(true);
         try (Chain chain =
                         new Chain(
@@ -273,21 +281,22 @@
                                 });
                 Caller caller = chain.worlds.get(0).caller()) {
             int next = 0;
-            boolean turnedAway = false;
-            while (!turnedAway) {
-                assertTrue(++next < 5_000, "the first tier lets in whatever comes");
-                // Lookups are worth more for their work than orders.
+            boolean orderRejected = false;
+            while (!orderRejected) {
+                assertTrue(++next < 5_000, "the first tier admits every request");
+                // Lookups have a higher priority weight for their work than orders.
                 assertEquals(
                         chain.ask(caller, "lookup", next).first(),
                         "HTTP/1.1 503 Service Unavailable");
-                assertTrue(!chain.unsent("lookup", next), "the best went first");
+                assertTrue(
+                        !chain.unsent("lookup", next), "the highest priority was rejected first");
                 chain.ask(caller, "order", next);
-                turnedAway = chain.unsent("order", next);
+                orderRejected = chain.unsent("order", next);
             }
             overloaded.set(false);
             int served = 0;
             while (served < 20) {
-                assertTrue(++next < 10_000, "it never comes back");
+                assertTrue(++next < 10_000, "orders are never admitted again");
                 chain.ask(caller, "lookup", next);
                 served =
                         chain.ask(caller, "order", next).first().contains(" 200 ") ? served + 1 : 0;
--- a/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
@@ -19,19 +19,24 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The command that the platform starts, and whether it starts with the class-data archive. */
+/** Tests the command that the platform starts, and whether it uses the class-data archive. */
 public class ClassDataIT {
 
-    /** How the virtual machine's list of loaded classes names the archive that the build made. */
+    /**
+     * The source that the virtual machine's list of loaded classes gives for the archive of the
+     * build.
+     */
     private static final String FROM_ARCHIVE = "shared objects file (top)";
 
     private static final String JAR = "daemon/target/cedarrudder.jar";
     private static final int PATIENCE_MILLIS = 20_000;
 
-    /** What a run came to: where each class came from, and all that it said. */
+    /** The result of a run: the source of each class, and the text of both output streams. */
     private record Run(Map<String, String> sources, String out, String err) {}
 
-    /** Starts the command, waits until the proxy is ready, serves a request and ends it. */
+    /**
+     * Starts the command, waits until the proxy is ready, serves a request and ends the process.
+     */
     private static Run run(String command) throws IOException, InterruptedException {
         Path loaded = Files.createTempFile("cedarrudder", ".classes");
         Path out = Files.createTempFile("cedarrudder", ".out");
@@ -49,7 +54,7 @@
                             .redirectOutput(out.toFile())
                             .redirectError(err.toFile());
             builder.environment().put("BALANCER_CONFIG", configuration.toString());
-            // The Java that made the archive: another one would not take it.
+            // The Java that made the archive; another one would reject the archive.
             builder.environment()
                     .merge(
                             "PATH",
@@ -96,7 +101,7 @@
     }
 
     @Test
-    public void thePlatformsCommandTakesItsClassesFromTheArchiveAndSaysNothingOnStandardOutput()
+    public void thePlatformsCommandLoadsItsClassesFromTheArchiveAndPrintsNothingOnStandardOutput()
             throws Exception {
         Run run = run(command());
         assertEquals(run.out, "");
@@ -111,7 +116,7 @@
                         "io.netty.channel.nio.NioEventLoop")) {
             assertEquals(run.sources.get(name), FROM_ARCHIVE, name);
         }
-        // Netty's bridges to logging libraries that are not there can't be archived.
+        // Netty's bridges to absent logging libraries can't be archived.
         List<String> fromJar =
                 run.sources.entrySet().stream()
                         .filter(e -> e.getValue().contains("cedarrudder.jar"))
@@ -121,9 +126,13 @@
         assertTrue(fromJar.isEmpty(), "the training in deploy/ClassData.java misses " + fromJar);
     }
 
-    /** What only other commands and the operator's file need costs start-up time and memory. */
+    /**
+     * Classes that only other commands and the operator's file need would cost start-up time and
+     * memory.
+     */
     @Test
-    public void thePlatformsCommandLoadsNoReaderOfArgumentsAndNoneOfToml() throws Exception {
+    public void thePlatformsCommandLoadsNeitherTheArgumentParserNorTheTomlParser()
+            throws Exception {
         Run run = run(command());
         assertNotNull(run.sources.get("cedarrudder.program.Main"));
         List<String> unwanted =
@@ -163,11 +172,11 @@
     }
 
     /**
-     * The trap: the archive serves only the jar it was trained with. Were it left out, this must
-     * show.
+     * The archive works only with the jar it was trained with. This test shows that the checks of
+     * this class would notice an unused archive.
      */
     @Test
-    public void aJarElsewhereIsSeenToLeaveTheArchiveOut() throws Exception {
+    public void aJarAtAnotherPathIsDetectedAsNotUsingTheArchive() throws Exception {
         Path copy = Files.createTempFile("cedarrudder", ".jar");
         try {
             Files.copy(
--- a/daemon/src/test/java/cedarrudder/program/ClientScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ClientScenarioTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Clients that do wrong, and those beside them that don't. Where patience is long, no close that a
- * test waits for can come of it.
+ * Misbehaving clients, and well-behaved clients beside them. Where a test sets long timeouts, no
+ * close that it waits for can be due to a timeout.
  */
 public class ClientScenarioTest {
 
@@ -35,9 +35,9 @@
         }
     }
 
-    /** Detects what is no request holding a descriptor until patience ends. */
+    /** Bytes that are no request must not occupy a descriptor until the timeout. */
     @Test
-    public void bytesThatCantBecomeARequestAreAnsweredAtOnce() throws Exception {
+    public void bytesThatCannotBecomeARequestAreRejectedAtOnce() throws Exception {
         try (World world = world(PATIENT).start()) {
             for (String bytes :
                     List.of("\u0016\u0003\u0001\u0002", "\r\n".repeat(9), "SSH-2.0-x\r\n")) {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void aCallerThatWaitsForA100GetsOne() throws Exception {
+    public void aClientThatExpects100ContinueGetsIt() throws Exception {
         try (World world = world(PATIENT).start();
                 Caller caller = world.caller()) {
             String request = World.request("order", "/api", "body", "Expect: 100-continue");
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Detects the body of an answer to HEAD being taken for the next answer. */
+    /** The body of an answer to HEAD must not be mistaken for the next answer. */
     @Test
     public void anAnswerToHeadHasNoBody() throws Exception {
         try (World world = world(PATIENT).start();
@@ -79,7 +79,7 @@
     }
 
     @Test
-    public void anAbsoluteTargetReachesANodeAsAPathOfItsHost() throws Exception {
+    public void anAbsoluteTargetReachesAnEndpointAsAPathWithItsHost() throws Exception {
         try (World world = world(PATIENT).start();
                 Caller caller = world.caller()) {
             caller.send(
@@ -98,11 +98,9 @@
         }
     }
 
-    /**
-     * Detects answers piling up in memory for a client that sends requests and reads none of them.
-     */
+    /** Answers must not pile up in memory for a client that sends requests and reads no answers. */
     @Test
-    public void whoReadsNoAnswersIsAskedForNoMoreAndClosed() throws Exception {
+    public void aClientThatReadsNoAnswersIsNotReadFromAndIsClosed() throws Exception {
         AtomicInteger served = new AtomicInteger();
         try (World world = world("[callers]\nanswer_patience_ms = 500\n").start();
                 Caller deaf = world.caller();
@@ -117,7 +115,7 @@
                 deaf.send(World.request("lookup", "/api", "").replace("id-1", "deaf-" + i));
             }
             awaitClosed(deaf);
-            assertTrue(served.get() < UNREAD, served + " answers were made ready");
+            assertTrue(served.get() < UNREAD, served + " answers were produced");
             good.send(World.request("lookup", "/api", ""));
             assertEquals(good.read().body().length(), LARGE);
         }
@@ -130,13 +128,13 @@
                 Thread.sleep(1);
             }
         } catch (SocketException e) {
-            // the proxy has closed it, with bytes unread
+            // the proxy has closed the connection with bytes unread
         }
     }
 
-    /** Detects half requests keeping everybody else out until patience with them ends. */
+    /** Half requests must not lock out other clients until their timeout. */
     @Test
-    public void atItsBoundTheProxyClosesHalfRequests() throws Exception {
+    public void atItsConnectionBoundTheProxyClosesHalfRequests() throws Exception {
         List<Caller> half = new ArrayList<>();
         try (World world =
                         world(PATIENT + "silent_patience_ms = 60000\n")
@@ -146,8 +144,8 @@
             waiting.send(World.request("order", "/api", "x"));
             Received call = world.call();
             for (int i = 0; i < 10; i++) {
-                // That the first is answered shows that the half behind it, of the same piece, was
-                // read.
+                // The answer to the first request shows that the half request behind it, in the
+                // same segment, was read.
                 half.add(
                         world.caller()
                                 .send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\nPOST /api HTT"));
--- a/daemon/src/test/java/cedarrudder/program/Collecting.java
+++ b/daemon/src/test/java/cedarrudder/program/Collecting.java
@@ -4,13 +4,13 @@
 import java.nio.file.Path;
 
 /**
- * The daemon with a thread beside it that collects without end once a file is there, and says each
- * time that more lives than ever. The program moves on for a millisecond between two collections,
- * so that hardly a peak is missed.
+ * Runs the daemon beside a thread that collects garbage repeatedly once a file exists, and prints
+ * each new maximum of the live heap bytes. The program runs for a millisecond between two
+ * collections, so that hardly a peak is missed.
  */
 final class Collecting {
 
-    /** Names the file. */
+    /** The system property that names the file. */
     static final String FILE = "collecting.file";
 
     private static final String SAYS = "most ";
@@ -27,7 +27,8 @@
                                     Thread.sleep(10);
                                 }
                                 for (long max = 0; ; ) {
-                                    Thread.sleep(1); // or a list of 10,000 takes minutes
+                                    Thread.sleep(
+                                            1); // without a pause a list of 10,000 takes minutes
                                     long now = ProcessMemoryEstimate.liveHeapBytes();
                                     if (now > max) {
                                         max = now;
@@ -35,7 +36,7 @@
                                     }
                                 }
                             } catch (InterruptedException e) {
-                                // nobody does
+                                // nobody interrupts this thread
                             }
                         });
         collecting.setDaemon(true);
@@ -43,7 +44,7 @@
         Main.main(args);
     }
 
-    /** What a line says; 0 where it is another one. */
+    /** Returns the maximum that a line reports; 0 for any other line. */
     static long max(String line) {
         return line.startsWith(SAYS) ? Long.parseLong(line.substring(SAYS.length())) : 0;
     }
--- a/daemon/src/test/java/cedarrudder/program/EndpointListCheckTest.java
+++ b/daemon/src/test/java/cedarrudder/program/EndpointListCheckTest.java
@@ -14,14 +14,14 @@
 import java.nio.file.Path;
 import org.testng.annotations.Test;
 
-/** What {@code check --list} says. */
+/** The output of {@code check --list}. */
 public class EndpointListCheckTest {
 
     private static final long MEGABYTE = 1 << 20;
     private static final ProcessLimits RUN =
             new ProcessLimits(56 * MEGABYTE, 192 * MEGABYTE, 20 * MEGABYTE, 1_024);
 
-    /** What was said, and whether all fits. */
+    /** The output of a check, and whether everything fits. */
     private record Said(boolean fits, String text) {
         String line(String start) {
             return text.lines().filter(line -> line.startsWith(start)).findFirst().orElse("");
@@ -46,9 +46,9 @@
         return new Said(fits, said.toString());
     }
 
-    /** Detects an operator who hears of a list that does not fit only once a proxy is told it. */
+    /** An operator must be able to learn that a list does not fit before a proxy receives it. */
     @Test
-    public void aListFitsOrFitsInStepsOrSaysWhichBoundBindsAndByHowMuch() throws Exception {
+    public void checkReportsWhetherAListFitsOrFitsInStepsOrWhichBoundItExceeds() throws Exception {
         Path list = file(RetainedEndpointList.list(0, 10_000, 3));
         Said fits = check(RUN, list, null);
         assertTrue(fits.fits, fits.text);
@@ -78,9 +78,9 @@
                 few.text);
     }
 
-    /** Detects limits that are taken and then left out of the verdict. */
+    /** Each limit that is given must be part of the verdict. */
     @Test
-    public void eachLimitBindsTheProcess() throws Exception {
+    public void eachLimitAppliesToTheProcess() throws Exception {
         Path list = file(RetainedEndpointList.list(0, 100, 3));
         assertTrue(check(RUN, list, null).line("process: fits; ").endsWith(" to spare"));
         for (ProcessLimits tight :
@@ -103,9 +103,9 @@
         }
     }
 
-    /** Detects settings and limits of a configuration that count for nothing. */
+    /** The list, settings and limits of a configuration must be used. */
     @Test
-    public void aConfigurationSaysItsListAndSettingsToo() throws Exception {
+    public void aConfigurationProvidesItsListAndSettings() throws Exception {
         String example =
                 Files.readString(Path.of("example", "config.json"))
                         .replace(
@@ -120,9 +120,9 @@
         assertEquals(said.line("callers").split(" +")[1], "100");
     }
 
-    /** Detects a fault in place of what is wrong with the file. */
+    /** An unreadable file must be reported as such rather than with an internal error. */
     @Test
-    public void whatIsNoListIsSaidWithFoundAndAllowed() throws Exception {
+    public void aFileThatIsNoListIsReportedWithFoundAndAllowed() throws Exception {
         for (String text :
                 new String[] {
                     "",
--- a/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
@@ -15,7 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** What the review of the whole program found, as stories; see docs/audit-findings.md. */
+/**
+ * Regression tests for the findings of the review of the whole program; see docs/audit-findings.md.
+ */
 public class FaultScenarioTest {
 
     private static long figure(World world, String name) throws IOException {
@@ -36,14 +38,14 @@
     }
 
     /**
-     * Detects an account that fills up for good: what had been read of a body, and was never taken
-     * by an endpoint, stayed in it, 64 KiB each time, and after some 300 times every body was
-     * refused.
+     * The buffer account must not fill up for good. Body bytes that had been read but never reached
+     * an endpoint stayed in the account, 64 KiB each time, and after some 300 times every body was
+     * rejected.
      */
     @Test
-    public void aBodyThatNoNodeTookIsNotHeldAfterItsAnswer() throws Exception {
+    public void aBodyThatNoEndpointReceivedIsReleasedAfterItsAnswer() throws Exception {
         try (World world = new World(1).withAdmin()) {
-            world.nodes.get(0).close(); // first: detects a probe's connection to it that stays
+            world.nodes.get(0).close(); // closed first, so that no probe's connection to it remains
             world.start();
             for (int i = 0; i < 20; i++) {
                 try (Caller caller = world.caller()) {
@@ -60,9 +62,9 @@
         }
     }
 
-    /** Detects memory that nothing bounds: many requests of 64 KiB each, whole and under way. */
+    /** Memory must be bounded for many complete requests of 64 KiB each in flight. */
     @Test
-    public void aWholeBodyIsHeldInTheAccountUntilItsAnswer() throws Exception {
+    public void aCompleteBodyStaysInTheBufferAccountUntilItsAnswer() throws Exception {
         try (World world = new World(1).withAdmin().start();
                 Caller caller = world.caller()) {
             caller.send(World.request("order", "/api", "x".repeat(1000)));
@@ -74,9 +76,12 @@
         }
     }
 
-    /** Detects two answers to one request: that its endpoint lost it, and that it can't be read. */
+    /**
+     * A request must not get two answers: one because its endpoint failed, one because it can't be
+     * parsed.
+     */
     @Test
-    public void aRequestThatIsSpoiltWithinItsBodyGetsOneAnswer() throws Exception {
+    public void aRequestWithAMalformedBodyGetsOneAnswer() throws Exception {
         try (World world = new World(1).withAdmin().start();
                 Caller caller = world.caller()) {
             caller.send(upload("spoilt") + "13880\r\n" + "x".repeat(80_000) + "\r\n");
@@ -93,11 +98,9 @@
         }
     }
 
-    /**
-     * Detects a load that another process reported, at the address that the endpoint had before.
-     */
+    /** A load that another process reported at the endpoint's former address must not be used. */
     @Test
-    public void aProbesAnswerFromTheAddressThatANodeHadBeforeIsNotTaken() throws Exception {
+    public void aProbeAnswerFromAnEndpointsFormerAddressIsIgnored() throws Exception {
         try (World world = new World(2).start();
                 Caller caller = world.caller()) {
             world.probesWait = true;
@@ -127,13 +130,13 @@
                 assertEquals(
                         call(world, caller, "late-" + i),
                         world.nodes.get(1).server.getLocalPort(),
-                        "the only node that is known by a report");
+                        "the only endpoint with a load report");
             }
             former.close();
         }
     }
 
-    /** Has one request served, and returns the port of the endpoint that served it. */
+    /** Serves one request, and returns the port of the endpoint that served it. */
     private static int call(World world, Caller caller, String id) throws Exception {
         caller.send(World.request("order", "/api", "x").replace("id-1", id));
         Received call = world.call();
@@ -142,9 +145,9 @@
         return call.socket().getLocalPort();
     }
 
-    /** Detects an endpoint that breaks off each large answer being used as one that serves well. */
+    /** An endpoint that breaks off each large answer must not count as successful. */
     @Test
-    public void aNodeThatBreaksOffItsAnswersCountsAsFailing() throws Exception {
+    public void anEndpointThatBreaksOffItsAnswersCountsAsFailing() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
             for (int i = 0; i < 8 && figure(world, "out_of_rotation") == 0; i++) {
                 try (Caller caller = world.caller()) {
@@ -164,9 +167,9 @@
         }
     }
 
-    /** Detects an endpoint that goes on with an answer that nobody waits for any more. */
+    /** An endpoint must not go on with an answer whose client has disconnected. */
     @Test
-    public void aCallerThatLeavesWithinItsAnswerEndsTheAttempt() throws Exception {
+    public void aClientThatDisconnectsDuringItsAnswerEndsTheAttempt() throws Exception {
         try (World world = new World(1).withAdmin().start()) {
             Received call;
             try (Caller caller = world.caller()) {
@@ -183,10 +186,11 @@
     }
 
     /**
-     * Detects any part of an answer being served, and against a client that waits, at every cut.
+     * No part of a truncated answer may be served, and no client may be left waiting, wherever the
+     * answer is cut.
      */
     @Test
-    public void anAnswerThatIsCutAtAnyByteIsServedWholeOrNotAtAll() throws Exception {
+    public void anAnswerTruncatedAtAnyByteIsServedWholeOrNotAtAll() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
         try (World world = new World(1).withAdmin().start()) {
             for (int cut = 0; cut <= answer.length(); cut++) {
@@ -211,7 +215,7 @@
         }
     }
 
-    /** This many clients, each of which sends a request that its endpoint is to answer. */
+    /** Opens this many clients, each of which sends a request that an endpoint is to answer. */
     private static List<Caller> crowd(World world, int callers) throws Exception {
         List<Caller> crowd = new ArrayList<>();
         for (int i = 0; i < callers; i++) {
@@ -221,9 +225,10 @@
         return crowd;
     }
 
-    /** Detects attempts that take the descriptors of operators and discovery. */
+    /** Attempts must not use up the descriptors of operators and discovery. */
     @Test
-    public void attemptsBeyondTheBoundOnChannelsAreRefusedAndOperatorsAreHeard() throws Exception {
+    public void attemptsBeyondTheConnectionBoundAreRejectedAndOperatorsAreAnswered()
+            throws Exception {
         int sockets = 240;
         int max = sockets / 2 - 48;
         try (World world =
@@ -250,11 +255,14 @@
         }
     }
 
-    /** Takes the calls that come until this many requests were refused, or are at endpoints. */
+    /**
+     * Collects the requests at endpoints until each of this many requests was rejected or has
+     * reached an endpoint.
+     */
     private static List<Received> calls(World world, int requests) throws Exception {
         List<Received> calls = new ArrayList<>();
         for (int i = 0; ; i++) {
-            assertTrue(i < 5_000, calls.size() + " calls");
+            assertTrue(i < 5_000, calls.size() + " requests at endpoints");
             Received next = world.calls.poll(1, TimeUnit.MILLISECONDS);
             if (next != null) {
                 calls.add(next);
@@ -269,9 +277,9 @@
         }
     }
 
-    /** Detects the share of descriptors for idle channels bounding the attempts, too. */
+    /** The fraction of descriptors for idle connections must not bound the attempts. */
     @Test
-    public void theShareOfDescriptorsForIdleChannelsBoundsNoAttempts() throws Exception {
+    public void theFractionOfDescriptorsForIdleConnectionsDoesNotBoundAttempts() throws Exception {
         try (World world =
                 new World(40)
                         .with("\"sockets\": 1024", "\"sockets\": 240")
@@ -280,7 +288,7 @@
                         .start()) {
             List<Caller> crowd = crowd(world, 30);
             List<Received> calls = calls(world, crowd.size());
-            assertEquals(calls.size(), crowd.size(), "at nodes at once");
+            assertEquals(calls.size(), crowd.size(), "requests at endpoints at once");
             for (Received call : calls) {
                 call.reply("200 OK", "done");
             }
@@ -293,11 +301,11 @@
     }
 
     /**
-     * Detects a request that reaches an endpoint long after it was told to drain, since its
-     * connection took as long as the settings allow: the rule on drains ends the wait sooner.
+     * A request must not reach an endpoint long after the endpoint was asked to drain because its
+     * connection took as long as the settings allow. The rule on drains ends the wait sooner.
      */
     @Test
-    public void aConnectionIsNotWaitedForLongerThanTheRuleOnDrainsAllows() throws Exception {
+    public void aConnectionAttemptEndsWithinTheTimeThatTheDrainRuleAllows() throws Exception {
         try (World world =
                         new World(1)
                                 .with(
@@ -309,13 +317,13 @@
                 caller.send(World.request("order", "/api", "x"));
                 assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
             }
-            assertEquals(full.awaitConnections(0).size(), 0, "none came up");
+            assertEquals(full.awaitConnections(0).size(), 0, "no connection was established");
         }
     }
 
-    /** Detects an answer that says no length, and that its endpoint breaks off, looking whole. */
+    /** An answer without a length that its endpoint breaks off must not look whole. */
     @Test
-    public void anAnswerWithoutALengthThatIsResetIsNotAWholeOne() throws Exception {
+    public void anAnswerWithoutALengthThatIsResetIsVisiblyIncomplete() throws Exception {
         try (World world = new World(1).start();
                 Caller caller = world.caller()) {
             caller.send(World.request("lookup", "/stays-for-test", ""));
@@ -323,18 +331,20 @@
             call.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(100_000));
             assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
             call.reset();
-            assertFalse(caller.readAll().endsWith("0\r\n\r\n"), "it ends as a whole one does");
+            assertFalse(
+                    caller.readAll().endsWith("0\r\n\r\n"), "the answer ends like a complete one");
         } catch (SocketException e) {
-            // a reset is a visible break
+            // a reset shows that the answer is incomplete
         }
     }
 
     /**
-     * Detects a client that waits ten minutes, and memory held as long, for an endpoint that is
-     * silent in the midst of a body: it has no deadline before its end. The bound is 30 s.
+     * A client must not wait ten minutes, nor its memory stay in use as long, for an endpoint that
+     * stops reading in the middle of a body, since the deadline counts only from the end of the
+     * body. The bound is 30 s.
      */
     @Test
-    public void aNodeThatTakesNothingOfABodyIsGivenUp() throws Exception {
+    public void anEndpointThatReadsNothingOfABodyIsGivenUp() throws Exception {
         try (World world = new World(1).withAdmin().start();
                 Caller caller = world.caller()) {
             caller.send(
@@ -353,7 +363,7 @@
         }
     }
 
-    /** Its answer, which may take longer than other tests wait. */
+    /** Returns the client's next answer, which may take longer than other tests wait. */
     private static Received patiently(Caller caller) throws IOException {
         for (int i = 0; i < 2; i++) {
             try {
@@ -365,9 +375,9 @@
         return caller.read();
     }
 
-    /** Detects an endpoint that is never asked again for the sake of one answer that never came. */
+    /** A probe that is never answered must not keep its endpoint from being probed again. */
     @Test
-    public void aProbeThatIsNeverAnsweredFreesItsPlace() throws Exception {
+    public void anUnansweredProbeIsGivenUpAndAnotherIsSent() throws Exception {
         try (World world = new World(1).start()) {
             world.probesWait = true;
             Received first = World.await(world.probes);
--- a/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a replica with a disk finds again. */
+/** Tests of the state that a replica recovers from its disk. */
 public class FileStableStorageTest {
 
     private static final VoterGroup GROUP = new VoterGroup(3, 1, 77);
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Two syncs: a promise, a snapshot and entries 7 to 9; then 9 and 10 in other terms, and a
-     * promise.
+     * Writes two syncs: a vote, a snapshot and entries 7 to 9; then 9 and 10 with other content,
+     * and a vote.
      */
     private void write() {
         try (FileStableStorage store = open()) {
@@ -88,7 +88,7 @@
     }
 
     @Test
-    public void whatWasSyncedIsFoundAgain() {
+    public void syncedStateIsRecovered() {
         write();
         try (FileStableStorage store = open()) {
             assertKept(store.recovered(), LATER, 7, 8, 90, 10);
@@ -100,9 +100,9 @@
         assertEquals(log.toString(), "");
     }
 
-    /** Detects a store that another build wrote and this one can't open, or the other way round. */
+    /** This build and an earlier one must be able to read each other's files. */
     @Test
-    public void theFileIsThatOfTheEarlierBuild() throws IOException {
+    public void theFileFormatMatchesTheEarlierBuild() throws IOException {
         write();
         Golden.check("consensus-store.txt", Golden.hex(Files.readAllBytes(file)));
         Files.write(file, Golden.bytes(Golden.read("consensus-store.txt")));
@@ -113,10 +113,11 @@
     }
 
     /**
-     * Wherever the last write ended: all of it counts or none, and what is written next is found.
+     * Wherever the last write was cut off, all of it counts or none, and later writes are
+     * recovered.
      */
     @Test
-    public void aTornTailIsCutWhereverItIs() throws IOException {
+    public void aTornTailIsTruncatedAtAnyLength() throws IOException {
         write();
         byte[] whole = Files.readAllBytes(file);
         int second = 0;
@@ -124,7 +125,7 @@
             Files.write(file, Arrays.copyOf(whole, length));
             try (FileStableStorage store = open()) {
                 if (store.recovered() == null) {
-                    break; // within the first
+                    break; // cut within the first sync
                 }
                 assertKept(store.recovered(), FIRST, 7, 8, 9);
                 second++;
@@ -136,15 +137,17 @@
             }
         }
         assertTrue(second > 40, "only " + second);
-        Files.write(file, Arrays.copyOf(whole, whole.length + 100)); // longer, and nothing in it
+        Files.write(file, Arrays.copyOf(whole, whole.length + 100)); // longer by 100 zero bytes
         try (FileStableStorage store = open()) {
             assertKept(store.recovered(), LATER, 7, 8, 90, 10);
         }
     }
 
-    /** One bit turned anywhere before the last batch, and the replica begins as one that forgot. */
+    /**
+     * After a bit flip anywhere before the last batch the replica starts without recovered state.
+     */
     @Test
-    public void aCorruptFileIsRefusedAndSetAside() throws IOException {
+    public void aCorruptFileIsRejectedAndSetAside() throws IOException {
         write();
         byte[] whole = Files.readAllBytes(file);
         int last = whole.length;
@@ -172,7 +175,7 @@
     }
 
     @Test
-    public void anotherCopysFileIsRefused() throws IOException {
+    public void theFileOfAnotherReplicaIsRejected() throws IOException {
         write();
         try (FileStableStorage store =
                 new FileStableStorage(folder, 2, 5, new Logger(new PrintStream(log, true)))) {
@@ -183,7 +186,7 @@
     }
 
     @Test
-    public void oneProcessUsesAFolder() {
+    public void aFolderIsLockedByOneProcess() {
         try (FileStableStorage store = open()) {
             assertNull(store.recovered());
             assertTrue(
@@ -195,11 +198,11 @@
     }
 
     /**
-     * How long the loop stands still for a promise and an entry; {@code -Dstore.syncs} for more of
-     * them.
+     * Measures how long the loop blocks for a vote and an entry; {@code -Dstore.syncs} sets the
+     * number of syncs.
      */
     @Test
-    public void aSyncIsShort() {
+    public void theMedianSyncTakesLessThanASecond() {
         int syncs = Integer.getInteger("store.syncs", 20);
         long[] took = new long[syncs];
         try (FileStableStorage store = open()) {
@@ -219,17 +222,18 @@
                         + took[syncs / 2] / 1_000
                         + " us, p99 "
                         + took[syncs * 99 / 100] / 1_000
-                        + " us, most "
+                        + " us, max "
                         + took[syncs - 1] / 1_000
                         + " us",
                 true);
         assertTrue(
-                took[syncs / 2] < 1_000_000_000L, "a disk that takes " + took[syncs / 2] + " ns");
+                took[syncs / 2] < 1_000_000_000L,
+                "the median sync takes " + took[syncs / 2] + " ns");
     }
 
-    /** Detects a file that grows for as long as the replica lives. */
+    /** The file must not grow for as long as the replica runs. */
     @Test
-    public void theFileStaysSmall() throws IOException {
+    public void theFileSizeStaysBounded() throws IOException {
         try (FileStableStorage store = open()) {
             store.writeHardState(FIRST);
             for (int i = 1; i <= 3_000; i++) {
@@ -243,7 +247,7 @@
             }
             store.sync();
         }
-        assertTrue(Files.size(file) < 1_300_000, "it has " + Files.size(file));
+        assertTrue(Files.size(file) < 1_300_000, "size in bytes: " + Files.size(file));
         try (FileStableStorage store = open()) {
             assertEquals(store.recovered().snapshot().index(), 2_992);
             assertEquals(store.recovered().entries().size(), 8);
--- a/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
@@ -17,15 +17,15 @@
 import org.testng.annotations.Test;
 
 /**
- * What may still go out when a connection comes up long after it was asked for, or a request has
- * waited: its client may have left, its endpoint may drain, its time or the window of its repeats
- * may be over. The endpoints' queues of connections are held full until the test opens them.
+ * Requests whose connection is established long after it was requested, or that were queued. By
+ * then the client may have disconnected, the endpoint may drain, or the deadline or the repeat
+ * window may be over. The endpoints' accept queues stay full until the test opens them.
  */
 public class FirstByteScenarioTest {
 
     private static final String REFUSED = "HTTP/1.1 503 Service Unavailable";
 
-    /** A proxy that waits up to 10 s for a connection, and makes none for probes. */
+    /** Creates a proxy that waits up to 10 s for a connection, and opens none for probes. */
     private static World world(int nodes) throws IOException {
         return new World(nodes)
                 .with("\"dial-timeout-ns\": 120000000", "\"dial-timeout-ns\": 60000000000")
@@ -52,7 +52,7 @@
         return figures(world).child("operations").child(kind).integer("left");
     }
 
-    /** The next request at an endpoint has this id; it is answered. */
+    /** Answers the next request at an endpoint, which must have this id. */
     private static Received serve(World world, Caller caller, String id) throws Exception {
         Received call = world.call();
         assertEquals(call.field("Req-Id"), id);
@@ -66,14 +66,16 @@
         return new Object[][] {{true}, {false}};
     }
 
-    // ---- its client has left ----
+    // ---- the client has disconnected ----
 
     /**
-     * Detects an attempt that begins for nobody, as the settings may forbid to cancel what has
-     * begun; and against a connection that its endpoint has paid for being thrown away.
+     * No attempt may begin for a client that has disconnected, as the settings may forbid
+     * cancelling an attempt that has begun. The connection, whose cost the endpoint has already
+     * paid, must not be thrown away.
      */
     @Test(dataProvider = "mayCancel")
-    public void whatIsSentOnALateConnectionIsNotOfACallerThatLeft(boolean cancel) throws Exception {
+    public void aLateConnectionIsNotUsedForAClientThatDisconnected(boolean cancel)
+            throws Exception {
         try (World world = world(1).with("\"cancel\": true", "\"cancel\": " + cancel);
                 FullNode full = world.new FullNode(0)) {
             world.start();
@@ -86,13 +88,16 @@
             Socket late = full.awaitConnections(1).get(0);
             try (Caller caller = world.caller()) {
                 caller.send(request("order", "stays"));
-                assertEquals(serve(world, caller, "stays").socket(), late, "it serves another");
+                assertEquals(
+                        serve(world, caller, "stays").socket(),
+                        late,
+                        "the connection serves another request");
             }
         }
     }
 
     @Test(dataProvider = "mayCancel")
-    public void ofManyThatLeaveNoneIsSentOn(boolean cancel) throws Exception {
+    public void noRequestOfManyDisconnectedClientsIsSent(boolean cancel) throws Exception {
         int many = 4;
         try (World world = world(many).with("\"cancel\": true", "\"cancel\": " + cancel)) {
             List<FullNode> full = new ArrayList<>();
@@ -128,7 +133,8 @@
     }
 
     /**
-     * A request with more behind it than is read ahead: of further requests, or of its own body.
+     * Returns a request followed by more bytes than are read ahead: by further requests, or by the
+     * rest of its own body.
      */
     private static String muchAtOnce(String id, boolean flows) {
         String chunked =
@@ -142,7 +148,7 @@
 
     private static void awaitUnseen(long from) throws Exception {
         Await.until(
-                "more than an attempt may be late",
+                "a longer time than an attempt may be late",
                 () -> System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(100));
     }
 
@@ -151,9 +157,12 @@
         return new Object[][] {{false, false}, {false, true}, {true, false}, {true, true}};
     }
 
-    /** Detects an attempt for a client whose end stands behind more than there is room to read. */
+    /**
+     * No attempt may begin for a client whose disconnect can't be read because more bytes precede
+     * it than the proxy buffers.
+     */
     @Test(dataProvider = "endsBehindMuch")
-    public void nothingBeginsForACallerWhoseEndCouldNotBeSeen(boolean flows, boolean reset)
+    public void noAttemptBeginsForAClientWhoseDisconnectCouldNotBeRead(boolean flows, boolean reset)
             throws Exception {
         try (World world = world(1);
                 FullNode full = world.new FullNode(0)) {
@@ -170,18 +179,18 @@
             awaitOpen(world, 0);
             try (Caller caller = world.caller()) {
                 caller.send(request("order", "stays"));
-                serve(world, caller, "stays"); // the first that comes there
+                serve(world, caller, "stays"); // the first request that reaches the endpoint
             }
             assertTrue(world.calls.isEmpty());
         }
     }
 
     /**
-     * The price of that: one who stays, and sent this much ahead, is told that its request did not
-     * run.
+     * The cost of that rule: a client that stays, and sent this much ahead, is answered that its
+     * request did not run.
      */
     @Test
-    public void whoSentMuchAheadAndStaysIsRefusedOnceAndThenServed() throws Exception {
+    public void aConnectedClientThatSentMuchAheadIsRejectedOnceAndThenServed() throws Exception {
         int behind = 2_000;
         try (World world = world(1);
                 FullNode full = world.new FullNode(0)) {
@@ -211,9 +220,12 @@
         return all;
     }
 
-    /** Detects a further attempt for nobody, where what is out may not be cancelled. */
+    /**
+     * No further attempt may begin for a client that has disconnected, where attempts in flight may
+     * not be cancelled.
+     */
     @Test(dataProvider = "mayCancel")
-    public void noFurtherAttemptFollowsOneWhoseCallerLeft(boolean cancel) throws Exception {
+    public void noRetryFollowsAfterTheClientDisconnected(boolean cancel) throws Exception {
         try (World world = world(2).with("\"cancel\": true", "\"cancel\": " + cancel).start()) {
             Received first;
             try (Caller leaves = world.caller()) {
@@ -234,14 +246,15 @@
         }
     }
 
-    /** Detects a request that leaves the line for an endpoint though its client is gone. */
+    /** A queued request must not be sent to an endpoint after its client has disconnected. */
     @Test(dataProvider = "mayCancel")
-    public void aCallerThatLeavesTheLineIsNotSentOn(boolean cancel) throws Exception {
+    public void aQueuedRequestIsNotSentAfterItsClientDisconnected(boolean cancel) throws Exception {
         try (World world = world(1).with("\"cancel\": true", "\"cancel\": " + cancel)) {
             world.start();
             Discovery discovery = new Discovery(world);
             discovery.tell(list(7, world.entries("terminating")));
-            Await.until("a node that drains", () -> figures(world).integer("out_of_rotation") == 1);
+            Await.until(
+                    "a draining endpoint", () -> figures(world).integer("out_of_rotation") == 1);
             try (Caller leaves = world.caller()) {
                 leaves.send(request("order", "leaves"));
                 awaitOpen(world, 1);
@@ -249,7 +262,7 @@
             awaitOpen(world, 0);
             assertEquals(left(world, "order"), 1);
             discovery.tell(list(8, world.entries("in_service")));
-            Await.until("a node", () -> figures(world).integer("out_of_rotation") == 0);
+            Await.until("an endpoint", () -> figures(world).integer("out_of_rotation") == 0);
             try (Caller caller = world.caller()) {
                 caller.send(request("order", "stays"));
                 serve(world, caller, "stays");
@@ -259,9 +272,8 @@
     }
 
     /**
-     * Discovery: each watch gets the list of the moment and all later ones. Detects a story that
-     * tells a watch which the proxy has given up, since it was not answered while the proxy
-     * started.
+     * Plays discovery: sends each watch the current list and all later ones. The proxy may give up
+     * a watch that was not answered while it started, so that a list must be sent to all watches.
      */
     private static final class Discovery {
         private final List<Received> watches = new ArrayList<>();
@@ -291,12 +303,12 @@
             try {
                 watch.raw(text);
             } catch (IOException e) {
-                // it was given up, and another comes
+                // the proxy gave up this watch and opens another
             }
         }
     }
 
-    // ---- its endpoint has left ----
+    // ---- the endpoint drains or was removed ----
 
     private static String list(int version, String entries) {
         return "{\"version\":" + version + ",\"full\":true,\"servers\":[" + entries + "]}\n";
@@ -308,10 +320,11 @@
     }
 
     /**
-     * Detects a request that reaches an endpoint long after it was told to drain, or left the list.
+     * A request must not reach an endpoint long after the endpoint was asked to drain or left the
+     * list.
      */
     @Test(dataProvider = "waysToLeave")
-    public void aLateConnectionToANodeThatHasLeftCarriesNothing(String how) throws Exception {
+    public void aLateConnectionToADrainingOrRemovedEndpointIsNotUsed(String how) throws Exception {
         try (World world = world(2)) {
             String[] entries = world.entries("in_service").split("(?<=\\}),");
             FullNode full = world.new FullNode(0);
@@ -344,7 +357,7 @@
         }
     }
 
-    // ---- its connection is of the past ----
+    // ---- the connection is stale ----
 
     @DataProvider
     public Object[][] startsOfANode() {
@@ -352,13 +365,13 @@
     }
 
     /**
-     * Detects a request that is lost on an idle connection to what its endpoint was before it
-     * started anew under the same id and address, where its machine had vanished without a word;
-     * and against a connection that is of this life being thrown away. While a request is out there
-     * the balancer closes none.
+     * A request must not be lost on an idle connection to a former incarnation of its endpoint,
+     * which restarted under the same id and address after its machine had vanished without closing
+     * the connection. A connection to the current incarnation must not be thrown away. While a
+     * request is in flight the balancer closes no connection.
      */
     @Test(dataProvider = "startsOfANode")
-    public void aConnectionFromBeforeItsNodesStartCarriesNothing(boolean before) throws Exception {
+    public void aConnectionFromBeforeItsEndpointsStartIsNotUsed(boolean before) throws Exception {
         try (World world =
                 world(1).with("\"ramp-time-ns\": 10000000000", "\"ramp-time-ns\": 1").start()) {
             Discovery discovery = new Discovery(world);
@@ -392,11 +405,11 @@
     }
 
     /**
-     * Detects a request on a connection that its endpoint may have closed already, since it was
-     * idle for as long as the settings say: the pool is looked over only each second.
+     * A request must not use a connection that was idle for as long as the settings allow, since
+     * its endpoint may have closed it already. The pool itself is checked only each second.
      */
     @Test
-    public void aConnectionThatWasIdleForTooLongCarriesNothing() throws Exception {
+    public void aConnectionThatWasIdleForTooLongIsNotUsed() throws Exception {
         try (World world =
                         world(1).with(
                                         "\"conn-idle-ns\": 30000000000",
@@ -409,21 +422,23 @@
                 Socket next = serve(world, caller, "rpc-" + i).socket();
                 assertTrue(
                         next != last,
-                        "rpc-" + i + " goes out on a connection that was idle for too long");
+                        "rpc-" + i + " was sent on a connection that was idle for too long");
                 last = next;
                 long idleBy = System.nanoTime();
                 Await.until(
-                        "its time is over",
+                        "the idle time is over",
                         () -> System.nanoTime() - idleBy > TimeUnit.MILLISECONDS.toNanos(100));
             }
         }
     }
 
-    // ---- its time is over ----
+    // ---- the deadline or the repeat window is over ----
 
-    /** Detects an answer that forbids a repeat of what was never forwarded: that is no failure. */
+    /**
+     * The answer must not forbid repeating a request that was never forwarded: that is no failure.
+     */
     @Test
-    public void anRpcWhoseConnectionIsNotUpByItsDeadlineIsRefused() throws Exception {
+    public void aRequestWithoutAConnectionByItsDeadlineIsRejected() throws Exception {
         try (World world = world(1);
                 FullNode full = world.new FullNode(0)) {
             world.start();
@@ -434,13 +449,13 @@
                 assertEquals(caller.read().first(), REFUSED);
             }
             assertEquals(figures(world).integer("relayed"), 0);
-            assertEquals(full.awaitConnections(0).size(), 0, "none came up");
+            assertEquals(full.awaitConnections(0).size(), 0, "no connection was established");
         }
     }
 
-    /** Detects a repeat that begins when endpoints have forgotten what ran before. */
+    /** A retry must not begin once endpoints have forgotten what ran before. */
     @Test
-    public void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotSent() throws Exception {
+    public void aRetryWhoseConnectionIsEstablishedAfterTheRepeatWindowIsNotSent() throws Exception {
         try (World world =
                 world(2).with(
                                 "\"repeat-window-ns\": 5000000000",
@@ -474,9 +489,10 @@
         }
     }
 
-    /** Detects an endpoint that works for longer than its client waits. */
+    /** An endpoint must not work for longer than its client waits. */
     @Test
-    public void aNodeIsToldNoMoreThanIsLeftOnceItsConnectionIsUp() throws Exception {
+    public void anEndpointReceivesTheTimeRemainingOnceItsConnectionIsEstablished()
+            throws Exception {
         for (boolean flows : new boolean[] {false, true}) {
             try (World world = world(1);
                     FullNode full = world.new FullNode(0)) {
@@ -492,7 +508,7 @@
                     long sentBy = System.nanoTime();
                     awaitOpen(world, 1);
                     Await.until(
-                            "some of its time",
+                            "a part of the request's time",
                             () -> System.nanoTime() - sentBy > TimeUnit.MILLISECONDS.toNanos(300));
                     full.open();
                     int told = Integer.parseInt(world.call().field("Req-Deadline-Ms"));
@@ -503,13 +519,13 @@
         }
     }
 
-    // ---- what a reset says ----
+    // ---- the end of an answer ----
 
     /**
-     * Detects an answer without a length that its endpoint breaks off being served as a whole one.
+     * An answer without a length that its endpoint breaks off must not be served as a complete one.
      */
     @Test
-    public void aResetIsNoEndOfAnAnswer() throws Exception {
+    public void aResetIsNotTheEndOfAnAnswer() throws Exception {
         try (World world = world(1).start()) {
             for (String answer :
                     List.of(
@@ -529,51 +545,55 @@
         }
     }
 
-    /** Detects an answer that its endpoint sends twice being taken for that to the next request. */
+    /** A second answer to the same request must not be used for the next request. */
     @Test
-    public void aSecondAnswerThatComesLateAnswersNothing() throws Exception {
+    public void aLateSecondAnswerIsDiscarded() throws Exception {
         try (World world = world(1).start();
                 Caller caller = world.caller()) {
             caller.send(request("order", "first"));
             Received first = serve(world, caller, "first");
             first.reply("200 OK", "first again");
-            Await.until("the end of its connection", () -> world.ended.contains(first.socket()));
+            Await.until(
+                    "the end of the endpoint's connection",
+                    () -> world.ended.contains(first.socket()));
             caller.send(request("order", "second"));
             Received second = serve(world, caller, "second");
-            assertTrue(second.socket() != first.socket(), "a connection of its own");
+            assertTrue(second.socket() != first.socket(), "a new connection");
         }
     }
 
-    /** Detects a request on a connection that its endpoint has reset while nothing was on it. */
+    /** A request must not use a connection that its endpoint reset while it was idle. */
     @Test
-    public void aConnectionThatWasResetWhileIdleCarriesNothing() throws Exception {
+    public void aConnectionThatWasResetWhileIdleIsNotUsed() throws Exception {
         try (World world = world(1).start();
                 Caller caller = world.caller()) {
             for (int i = 0; i < 5; i++) {
                 caller.send(request("order", "rpc-" + i).replace("/api", "/stays-for-test"));
                 serve(world, caller, "rpc-" + i)
-                        .reset(); // nobody else holds it: the reset is out at once
+                        .reset(); // no other thread uses the socket: the reset is sent at once
             }
         }
     }
 
-    /** Detects memory and time that go into answers that never begin. */
+    /** Memory and time must be bounded for answers that never begin. */
     @Test
-    public void interimAnswersWithoutEndAreNoAnswer() throws Exception {
+    public void endlessInterimAnswersAreAFailure() throws Exception {
         try (World world = world(1).start();
                 Caller caller = world.caller()) {
             caller.send(request("order", "interim"));
             Received call = world.call();
             call.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(17));
             assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            Await.until("the end of its connection", () -> world.ended.contains(call.socket()));
+            Await.until(
+                    "the end of the endpoint's connection",
+                    () -> world.ended.contains(call.socket()));
             caller.send(request("order", "next"));
             serve(world, caller, "next");
         }
     }
 
     @Test
-    public void aCleanEndIsTheEndOfAnAnswerWithoutALength() throws Exception {
+    public void anOrderlyCloseIsTheEndOfAnAnswerWithoutALength() throws Exception {
         try (World world = world(1).start();
                 Caller caller = world.caller()) {
             caller.send(World.request("order", "/stays-for-test", "x"));
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -13,15 +13,18 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** What is worked out beside the objects themselves, as JOL counts them on this virtual machine. */
+/**
+ * Compares the estimated footprint with the objects themselves, as JOL counts them on this virtual
+ * machine.
+ */
 public class FootprintOfGraphsTest {
 
     private static final double MAX_UNDER = 0.03;
     private static final double MAX_OVER = 0.15;
 
     /**
-     * Of what {@link RetainedEndpointList#list} writes: ids of 10 characters, values that differ by
-     * address and zone.
+     * Returns the shape of a text of {@link RetainedEndpointList#list}: ids of 10 characters,
+     * values that differ by address and zone.
      */
     private static EndpointListShape shape(String text, int nodes) {
         long values = 0;
@@ -41,15 +44,17 @@
         double off = estimate / (double) counted - 1;
         String line =
                 String.format(
-                        "%s: worked out %d, counted %d, %+.1f %%",
+                        "%s: estimated %d, counted %d, %+.1f %%",
                         what, estimate, counted, 100 * off);
         System.out.println(line);
         return off < -MAX_UNDER || off > MAX_OVER ? line + "\n" : "";
     }
 
-    /** Detects a part that grew, or one that is forgotten, at rest or while a list is read. */
+    /**
+     * The estimate must cover every part of a list and its size, at rest and while a list is read.
+     */
     @Test
-    public void neverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen() throws Exception {
+    public void listEstimateIsAtMost3PercentBelowAnd15PercentAboveTheCount() throws Exception {
         EndpointListFootprint footprint = new EndpointListFootprint(MachineLayout.read());
         StringBuilder wrong = new StringBuilder();
         String max = System.getProperty("footprint.nodes", "100");
@@ -64,7 +69,7 @@
                     EndpointListShape list = shape(text, nodes);
                     String name = nodes + " nodes, " + zones + " zones, " + tenants + " tenants";
                     List<Object> kept = new ArrayList<>(held.roots());
-                    kept.add(held.parsed.get(0)); // the buffer, which a watch keeps
+                    kept.add(held.parsed.get(0)); // the buffer, which a watch retains
                     long rest = RetainedEndpointList.graph(kept).totalSize() - none;
                     wrong.append(compare(name + ", at rest", footprint.atRest(list), rest));
                     List<Object> all = new ArrayList<>(held.roots());
@@ -80,7 +85,7 @@
                     again.addAll(held.parsed);
                     wrong.append(
                             compare(
-                                    name + ", told again",
+                                    name + ", received again",
                                     footprint.peakOfRepeatedList(list),
                                     RetainedEndpointList.graph(again).totalSize() - none));
                 }
@@ -111,9 +116,9 @@
         return new RouteTable(1, 1, 1, 1, shares, nodes, classes);
     }
 
-    /** Detects a part of the route table that grew, or is forgotten. */
+    /** The estimate must cover every part of the route table and its size. */
     @Test
-    public void ofARouteTableLikewise() {
+    public void routeTableEstimateIsAtMost3PercentBelowAnd15PercentAboveTheCount() {
         RouteTableFootprint tables = new RouteTableFootprint(MachineLayout.read());
         StringBuilder wrong = new StringBuilder();
         for (int[] size :
@@ -127,7 +132,7 @@
                 }) {
             RouteTable table = table(size[0], size[1], size[2]);
             byte[] bytes = RouteTableCodec.encode(table);
-            // What all lists share, and the ways, are the virtual machine's.
+            // The empty list and the route reasons are shared objects of the virtual machine.
             List<Object> shared = List.of(RouteTable.RouteReason.SPILLED, Stream.empty().toList());
             List<Object> all = new ArrayList<>(shared);
             all.addAll(List.of(table, bytes));
--- a/daemon/src/test/java/cedarrudder/program/Nodes.java
+++ b/daemon/src/test/java/cedarrudder/program/Nodes.java
@@ -7,19 +7,22 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Endpoints that answer by themselves, some by calling the next tier as real ones do. */
+/** Endpoints that answer automatically; some send requests to the next tier as real ones do. */
 final class Nodes {
 
     private static final AtomicLong IDS = new AtomicLong();
 
-    /** What an endpoint does with a call. */
+    /** Serves a request on behalf of an endpoint. */
     interface Node {
         void serve(Received call) throws Exception;
     }
 
     private Nodes() {}
 
-    /** All endpoints of a world do this from now on, each call on a thread of its own. */
+    /**
+     * Serves all requests to the endpoints of a test with this handler from now on, each request on
+     * its own thread.
+     */
     static void play(World world, Node node) {
         daemon(
                 () -> {
@@ -31,7 +34,8 @@
     }
 
     /**
-     * Discovery answers calls for the whole list, which need not end in a line feed; watches wait.
+     * Answers discovery's requests for the full list, whose text need not end in a line feed;
+     * watches are left unanswered.
      */
     static void list(World world) {
         daemon(
@@ -49,7 +53,7 @@
                 });
     }
 
-    /** What runs on a thread of its own. */
+    /** A task that runs on its own thread. */
     interface Task {
         void run() throws Exception;
     }
@@ -61,14 +65,17 @@
                             try {
                                 task.run();
                             } catch (Exception e) {
-                                // the proxy gave the call up
+                                // the proxy gave up the request
                             }
                         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Calls the proxy at a port for a request, as a new one with these further fields. */
+    /**
+     * Sends the proxy at a port a new request modelled on this one, with these further header
+     * fields.
+     */
     static Received call(int port, Received request, String... fields) throws IOException {
         try (Caller caller = new Caller(port)) {
             String kind = request.field("Req-Kind");
@@ -85,8 +92,8 @@
     }
 
     /**
-     * What an endpoint replicas to the calls that it makes for a request, or to its answer, of the
-     * answer it got.
+     * Returns the fields that an endpoint copies from a request to the requests that it sends on
+     * its behalf, or from the answer it received to its own answer.
      */
     static String[] copied(Received from, String... names) {
         List<String> fields = new ArrayList<>();
@@ -98,7 +105,10 @@
         return fields.toArray(String[]::new);
     }
 
-    /** An endpoint that calls a proxy once and replicas all fields of budgets, or none. */
+    /**
+     * Returns a handler that sends the proxy at a port one request and copies all budget fields, or
+     * none.
+     */
     static Node relay(int port, boolean copies) {
         return call ->
                 pass(
@@ -112,7 +122,7 @@
                         copies);
     }
 
-    /** Answers as the next tier did: served, or an error. */
+    /** Answers as the next tier did: with success, or with an error. */
     static void pass(Received call, Received answer, boolean copies) throws IOException {
         call.reply(
                 answer.first().contains(" 200 ") ? "200 OK" : "500 Error",
--- a/daemon/src/test/java/cedarrudder/program/PersistentCallers.java
+++ b/daemon/src/test/java/cedarrudder/program/PersistentCallers.java
@@ -14,10 +14,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Clients each of which sends requests on one connection until that is closed. */
+/** Clients that each send requests on one connection until it is closed. */
 final class PersistentCallers {
 
-    /** Ends of a connection or a request in which nothing is lost. */
+    /** The outcomes of a connection or request in which nothing is lost. */
     private static final List<String> IN_ORDER = List.of("200", "503", "told", "closed before");
 
     private static final int MAX_PAUSE_MILLIS = 30;
@@ -27,18 +27,18 @@
     private final List<Thread> threads = new ArrayList<>();
     private final AtomicBoolean anyEnded = new AtomicBoolean();
 
-    /** How many requests and connections ended in which way. */
+    /** The number of requests and connections for each outcome. */
     private final Map<String, Integer> ends = Collections.synchronizedMap(new TreeMap<>());
 
     /**
-     * @param random the pauses between the requests of a client
+     * @param random the source of the pauses between the requests of a client
      */
     PersistentCallers(World world, Random random) {
         this.world = world;
         this.random = random;
     }
 
-    /** Starts one; its requests are named so. */
+    /** Starts a client; its request ids begin with this name. */
     void start(String name) {
         Random pauses = new Random(random.nextLong());
         Thread thread = new Thread(() -> run(name, pauses));
--- a/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
@@ -17,15 +17,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One process of the built proxy, with an operators' address of its own. */
+/** One process of the built proxy, with an address for operators of its own. */
 final class ProxyUnderTest implements AutoCloseable {
 
-    /** How a process ends that SIGTERM has ended. */
+    /** The exit code of a process that ended because of SIGTERM. */
     static final int TERMINATED = 128 + 15;
 
     /**
-     * The option of {@code env} by which the proxy hears signals that whoever runs the tests
-     * ignores; deploy/balancer.toml has it, too.
+     * The option of {@code env} that restores the default handling of signals which the process
+     * running the tests ignores; deploy/balancer.toml uses the same option.
      */
     static final String DEFAULT_SIGNALS = "--default-signal=HUP,TERM";
 
@@ -40,7 +40,7 @@
     }
 
     /**
-     * @param before what the shell does before it becomes the process, such as a limit of its own
+     * @param before the shell commands before the process is started, such as a limit of its own
      * @param machine options of the virtual machine
      * @param options options of {@code serve}
      */
@@ -51,7 +51,7 @@
     }
 
     /**
-     * @param program how the virtual machine is told what to run
+     * @param program the arguments by which the virtual machine finds the program to run
      */
     ProxyUnderTest(
             World world,
@@ -97,20 +97,20 @@
                 });
     }
 
-    /** All that it still says until it ends. */
+    /** Returns the rest of the log, up to the end of the process. */
     String rest() throws IOException {
-        return Await.all("its end", process, log);
+        return Await.all("the end of the process", process, log);
     }
 
-    /** Waits until it serves, without a look at its log. */
+    /** Waits until the process is ready to serve, without reading its log. */
     void awaitReady() throws Exception {
         Await.until(
-                "a yes of /-/ready",
+                "a positive answer of /-/ready",
                 () -> {
                     try {
                         return status("GET", "/-/ready") == 200;
                     } catch (IOException e) {
-                        assertTrue(process.isAlive(), "it ended: " + e);
+                        assertTrue(process.isAlive(), "the process ended: " + e);
                         return false;
                     }
                 });
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Waits until a figure has this value; where there is no memory, a call may end without its
+     * Waits until a metric has this value. Where memory runs out, a request may end without an
      * answer.
      */
     void awaitFigure(String name, long value) throws Exception {
@@ -143,7 +143,7 @@
                 });
     }
 
-    /** How many descriptors it holds. */
+    /** Returns the number of descriptors that the process has open. */
     int descriptors() {
         return Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list().length;
     }
@@ -152,21 +152,24 @@
         signal(process, name);
     }
 
-    /** Unlike {@code destroy}, which closes the streams, this leaves the log to be read. */
+    /**
+     * Sends a signal. Unlike {@code destroy}, which closes the streams, this leaves the log
+     * readable.
+     */
     static void signal(Process process, String name) throws IOException, InterruptedException {
         Process kill = new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
         assertEquals(Await.end("the end of kill", kill), 0);
     }
 
-    /** As if its machine had lost it: SIGKILL, and nothing of it is left. */
+    /** Sends SIGKILL and waits for the end, as if the machine had lost the process. */
     void kill() throws Exception {
         process.destroyForcibly();
         awaitEnd(128 + 9);
     }
 
-    /** Waits until it has ended, with this code. */
+    /** Waits until the process has ended, and checks its exit code. */
     void awaitEnd(int code) throws Exception {
-        assertEquals(Await.end("its end", process), code);
+        assertEquals(Await.end("the end of the process", process), code);
     }
 
     @Override
--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -26,7 +26,10 @@
 import java.util.SplittableRandom;
 import org.openjdk.jol.info.GraphLayout;
 
-/** What a proxy keeps of a list, in the same parts, with every root at hand for JOL. */
+/**
+ * The objects that a proxy retains for an endpoint list, in the same parts, with every root
+ * accessible to JOL.
+ */
 final class RetainedEndpointList {
 
     private final SiteSettings site;
@@ -67,7 +70,7 @@
                         new BufferAccount(BufferAccount.MAX));
     }
 
-    /** The example's settings, with this many zones and tenants. */
+    /** Returns the example settings with this many zones and tenants. */
     static SiteSettings site(int zones, int tenants) throws Exception {
         StringBuilder zone = new StringBuilder();
         StringBuilder tenant = new StringBuilder();
@@ -91,7 +94,7 @@
         return SettingsReader.read(JsonObject.parse(text).child("settings"));
     }
 
-    /** A whole list as discovery writes it; endpoints are numbered from {@code first} on. */
+    /** Returns a full list in discovery's format; endpoints are numbered from {@code first} on. */
     static String list(int first, int nodes, int zones) {
         StringBuilder text = new StringBuilder("{\"version\":7,\"full\":true,\"servers\":[");
         for (int i = 0; i < nodes; i++) {
@@ -116,11 +119,12 @@
         return text.append("]}").toString();
     }
 
-    /** What the last list was while it was read. */
+    /** The intermediate objects of reading the last list. */
     List<Object> parsed = List.of();
 
     void load(String text) {
-        ByteArrayOutputStream gathered = new ByteArrayOutputStream(); // as DiscoveryClient has it
+        ByteArrayOutputStream gathered =
+                new ByteArrayOutputStream(); // in the form that DiscoveryClient collects
         for (int i = 0; i < text.length(); i++) {
             gathered.write(text.charAt(i));
         }
--- a/daemon/src/test/java/cedarrudder/program/World.java
+++ b/daemon/src/test/java/cedarrudder/program/World.java
@@ -31,25 +31,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The world round a proxy, played by a test on loopback sockets: clients, endpoints and discovery.
- * Endpoints answer probes by themselves; all else waits in a queue for the test's answer.
+ * Runs a proxy under test on loopback sockets, together with the clients, endpoints and discovery
+ * that the test plays. Endpoints answer probes automatically; every other message is queued until
+ * the test answers it.
  */
 final class World implements AutoCloseable {
 
-    /** No test waits longer than this for what must come; none depends on how soon it comes. */
+    /**
+     * Limits every wait of a test for an expected event; no result depends on how soon the event
+     * occurs.
+     */
     private static final int PATIENCE_MILLIS = 20_000;
 
-    /** How discovery begins to answer a watch. */
+    /** The head with which discovery starts its answer to a watch. */
     static final String STREAM = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** A message as it came, and the way to answer it. */
+    /** A received message with the socket on which to answer it. */
     record Received(Socket socket, String head, String body) {
 
         String first() {
             return head.lines().findFirst().orElseThrow();
         }
 
-        /** The value of a header field; null where there is none. */
+        /** Returns the value of a header field, or null if the field is absent. */
         String field(String name) {
             return head.lines()
                     .filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
@@ -74,7 +78,7 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** Begins a chunked answer, or goes on with it. */
+        /** Sends a chunk of an answer in chunked encoding. */
         void chunk(String text) throws IOException {
             raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
@@ -91,14 +95,14 @@
                     throw new AssertionError("more bytes instead of the end");
                 }
             } catch (java.net.SocketException e) {
-                // a reset is an end too
+                // a reset also ends the connection
             }
         }
     }
 
     /**
-     * Listens at a port, which may be one that was closed just now. Detects a thread within its
-     * accept that holds on to it for another moment.
+     * Listens on a port that may have been closed just now. Retries while a thread inside {@code
+     * accept} still uses the old socket for a moment.
      */
     private static ServerSocket listen(int port, int queue) throws IOException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
@@ -160,7 +164,7 @@
                     }
                 }
             } catch (IOException e) {
-                // the other side ended it
+                // the peer closed the connection
             }
             ended.add(socket);
         }
@@ -178,8 +182,8 @@
     }
 
     /**
-     * An endpoint whose queue of connections is full: further ones come up once it is opened, when
-     * the kernel of who wants them asks again, which it does after 1, 3 and 7 s.
+     * An endpoint whose accept queue is full. Further connections are established after {@link
+     * #open}, when the connecting kernel retransmits its SYN, which it does after 1, 3 and 7 s.
      */
     final class FullNode implements Closeable {
         private static final int FULL_MILLIS = 500;
@@ -187,7 +191,7 @@
         private final ServerSocket server;
         private final List<Socket> before = new ArrayList<>();
 
-        /** Closes an endpoint, and listens in its place. */
+        /** Closes an endpoint and listens on its port instead. */
         FullNode(int node) throws IOException {
             this.node = node;
             nodes.get(node).close();
@@ -211,14 +215,14 @@
             }
         }
 
-        /** Takes connections from now on, and answers like any endpoint. */
+        /** Accepts connections from now on and serves them like any endpoint. */
         void open() {
             nodes.set(node, new Peer(calls, server));
         }
 
         /**
-         * Waits until this many connections besides those that fill it have come up, and returns
-         * them.
+         * Waits until this many connections have been accepted besides those that fill the queue,
+         * and returns them.
          */
         List<Socket> awaitConnections(int count) throws Exception {
             Await.until(count + " connections", () -> others().size() >= count);
@@ -253,8 +257,8 @@
         }
 
         /**
-         * @param receiveBufferBytes what its kernel takes of an answer that it doesn't read; 0: as
-         *     the system has it
+         * @param receiveBufferBytes the size of the kernel's receive buffer for unread answers; 0
+         *     for the system's default
          */
         Caller(int port, int receiveBufferBytes) throws IOException {
             socket = new Socket();
@@ -271,12 +275,12 @@
             return this;
         }
 
-        /** The next answer; null where the proxy has closed the connection. */
+        /** Returns the next answer, or null if the proxy has closed the connection. */
         Received read() throws IOException {
             return World.read(socket);
         }
 
-        /** The head of the next answer; what follows is the test's affair. */
+        /** Reads the head of the next answer; the test reads the body itself. */
         Received readHead() throws IOException {
             return World.readHead(socket);
         }
@@ -289,12 +293,12 @@
             return socket.getOutputStream();
         }
 
-        /** Its close will be a reset. */
+        /** Makes the later close of this connection send a reset. */
         void resets() throws IOException {
             socket.setSoLinger(true, 0);
         }
 
-        /** All bytes until the proxy closes the connection. */
+        /** Returns all bytes until the proxy closes the connection. */
         String readAll() throws IOException {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
@@ -309,12 +313,12 @@
     final BlockingQueue<Received> lookups = new LinkedBlockingQueue<>();
     final BlockingQueue<Received> probes = new LinkedBlockingQueue<>();
 
-    /** Whether probes wait for the test's answer too. */
+    /** True if probes also wait for the test's answer. */
     volatile boolean probesWait;
 
     /**
-     * The connections to endpoints and discovery, in the order accepted, but for those that wait
-     * there.
+     * The connections to endpoints and discovery in the order of their accept, except those still
+     * in an accept queue.
      */
     final Queue<Socket> accepted = new ConcurrentLinkedQueue<>();
 
@@ -328,7 +332,7 @@
     final int port;
     private final Socket held = new Socket();
 
-    /** Where the proxy keeps its state. */
+    /** The folder for the proxy's persistent state. */
     final Path state = Files.createTempDirectory("world").resolve("state");
 
     private final Socket adminHeld = new Socket();
@@ -339,21 +343,20 @@
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(new Peer(calls));
         }
-        // Held until the world ends, bound and not listening: detects another socket getting
-        // the port
-        // before the proxy does. The proxy may listen there, since both ask for SO_REUSEADDR.
+        // Stays bound without listening until the test ends, so that no other socket gets the port
+        // before the proxy does. The proxy may listen on it because both sockets set SO_REUSEADDR.
         held.setReuseAddress(true);
         held.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         port = held.getLocalPort();
     }
 
-    /** Changes the configuration: this text in it becomes that. */
+    /** Replaces a text in the configuration by another. */
     World with(String text, String other) {
         changes.put(text, other);
         return this;
     }
 
-    /** Sets the operator's file, or replaces it where the proxy runs already. */
+    /** Sets the operator's file, or replaces it if the proxy is already running. */
     World with(OperatorFile next) {
         operator = next;
         if (proxy != null) {
@@ -362,7 +365,7 @@
         return this;
     }
 
-    /** The proxy gets an operators' address. */
+    /** Gives the proxy an address for operators. */
     World withAdmin() throws IOException {
         adminHeld.setReuseAddress(true);
         adminHeld.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -371,24 +374,24 @@
                 "\"admin_addr\":\"127.0.0.1:" + adminHeld.getLocalPort() + "\",\"listen\"");
     }
 
-    /** An operator's connection. */
+    /** Opens an operator's connection. */
     Caller operator() throws IOException {
         return new Caller(adminHeld.getLocalPort());
     }
 
-    /** What the proxy answers to an operator's call. */
+    /** Returns the proxy's answer to an operator's request. */
     Received operator(String method, String path) throws IOException {
         try (Caller call = operator()) {
             return call.send(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n").read();
         }
     }
 
-    /** The status that the proxy answers to an operator's call. */
+    /** Returns the status of the proxy's answer to an operator's request. */
     int status(String method, String path) throws IOException {
         return Integer.parseInt(operator(method, path).first().split(" ")[1]);
     }
 
-    /** Waits until an operator's call gets this status. */
+    /** Waits until an operator's request is answered with this status. */
     void awaitStatus(String method, String path, int status) throws Exception {
         Await.until(status + " of " + path, () -> status(method, path) == status);
     }
@@ -403,19 +406,21 @@
         return this;
     }
 
-    /** The proxy is told to end; returns once it has. */
+    /** Shuts the proxy down; returns once it has ended. */
     void end() {
         ProxyServer ends = proxy;
         proxy = null;
         ends.shutDown();
     }
 
-    /** The configuration is replaced, and the proxy is told to read it again. */
+    /** Makes the proxy reload its configuration with this text as the new one. */
     void reload(String configuration) {
         proxy.reload(() -> ProxyConfiguration.parse(configuration));
     }
 
-    /** The example's configuration, with this world's addresses and all endpoints known. */
+    /**
+     * Returns the example configuration with the addresses of this test and all of its endpoints.
+     */
     String configuration() throws IOException {
         String text = Files.readString(Path.of("example", "config.json"));
         for (Map.Entry<String, String> change : changes.entrySet()) {
@@ -427,7 +432,7 @@
                 .replace("\"servers\": []", "\"servers\": [" + entries("in_service") + "]");
     }
 
-    /** The entries of all endpoints, as discovery writes them. */
+    /** Returns the entries of all endpoints in discovery's format. */
     String entries(String state) {
         List<String> entries = new ArrayList<>();
         for (Peer node : nodes) {
@@ -444,7 +449,7 @@
         return String.join(",", entries);
     }
 
-    /** An endpoint that was closed comes back at its address. */
+    /** Restarts a closed endpoint on its former port. */
     void restart(int node) throws IOException {
         nodes.set(node, new Peer(calls, nodes.get(node).server.getLocalPort()));
     }
@@ -453,7 +458,7 @@
         return new Caller(port);
     }
 
-    /** The next request that reached an endpoint. */
+    /** Returns the next request that reached an endpoint. */
     Received call() throws InterruptedException {
         return await(calls);
     }
@@ -462,7 +467,7 @@
         return Await.next("a request", queue);
     }
 
-    /** A request as a client writes it. */
+    /** Returns a request in the form that a client sends. */
     static String request(String kind, String target, String body, String... fields) {
         return (kind.equals("lookup") ? "GET " : "POST ")
                 + target
@@ -508,7 +513,7 @@
         return new Received(socket, head.toString(), "");
     }
 
-    /** Waits until the log has a line with this. */
+    /** Waits until the log contains this text. */
     void awaitLog(String part) throws Exception {
         Await.until(part + " in the log", () -> log.toString().contains(part));
     }
