--- a/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
@@ -6,8 +6,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -97,7 +97,7 @@
     }
 
     private static String upload(String id) {
-        return World.request("order", STAYS, "", "Transfer-Encoding: chunked")
+        return ProxyHarness.request("order", STAYS, "", "Transfer-Encoding: chunked")
                 .replace("Content-Length: 0\r\n", "")
                 .replace("id-1", id);
     }
@@ -105,31 +105,31 @@
     /** No byte may be lost, duplicated or reordered, whichever side is the slower. */
     @Test
     public void bodiesOf32MegabytesPassUnchangedInBothDirections() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
             for (boolean chunked : new boolean[] {true, false}) {
                 CRC32 sent = new CRC32();
-                caller.send(upload("up-" + chunked));
-                Nodes.daemon(() -> write(caller.out(), 7, LARGE, true, sent));
-                Received call = world.call();
-                assertEquals(call.field("Transfer-Encoding"), "chunked");
-                Socket node = call.socket();
+                client.send(upload("up-" + chunked));
+                TestEndpoints.daemon(() -> write(client.out(), 7, LARGE, true, sent));
+                Received request = harness.nextRequest();
+                assertEquals(request.field("Transfer-Encoding"), "chunked");
+                Socket node = request.socket();
                 assertEquals(read(node.getInputStream(), -1).getValue(), sum(7));
-                call.raw(
+                request.raw(
                         "HTTP/1.1 200 OK\r\n"
                                 + (chunked
                                         ? "Transfer-Encoding: chunked"
                                         : "Content-Length: " + LARGE)
                                 + "\r\nConnection: close\r\n\r\n");
-                Nodes.daemon(
+                TestEndpoints.daemon(
                         () -> {
                             write(node.getOutputStream(), 9, LARGE, chunked, new CRC32());
                             node.close();
                         });
-                Received head = caller.readHead();
+                Received head = client.readHead();
                 assertEquals(head.first(), "HTTP/1.1 200 OK");
                 assertEquals(head.field("Content-Length"), chunked ? null : String.valueOf(LARGE));
-                assertEquals(read(caller.in(), chunked ? -1 : LARGE).getValue(), sum(9));
+                assertEquals(read(client.in(), chunked ? -1 : LARGE).getValue(), sum(9));
             }
         }
     }
@@ -146,39 +146,46 @@
     @Test
     public void manyUnreadLargeAnswersAreBufferedWithinTheBoundAndOthersAreServed()
             throws Exception {
-        try (World world = new World(1).withAdmin().start()) {
-            List<Caller> slow = new ArrayList<>();
+        try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start()) {
+            List<Client> slow = new ArrayList<>();
             for (int i = 0; i < MANY; i++) {
-                Caller caller = world.caller();
+                Client client = harness.client();
                 slow.add(
-                        caller.send(
-                                World.request("lookup", STAYS, "").replace("id-1", "slow-" + i)));
-                Received call = world.call();
-                call.raw(
+                        client.send(
+                                ProxyHarness.request("lookup", STAYS, "")
+                                        .replace("id-1", "slow-" + i)));
+                Received request = harness.nextRequest();
+                request.raw(
                         "HTTP/1.1 200 OK\r\nContent-Length: "
                                 + LARGE
                                 + "\r\nConnection: close\r\n\r\n");
-                Nodes.daemon(
-                        () -> write(call.socket().getOutputStream(), 3, LARGE, false, new CRC32()));
-                assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
+                TestEndpoints.daemon(
+                        () ->
+                                write(
+                                        request.socket().getOutputStream(),
+                                        3,
+                                        LARGE,
+                                        false,
+                                        new CRC32()));
+                assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
                 long held =
-                        JsonObject.parse(world.operator("GET", "/-/metrics").body())
+                        JsonObject.parse(harness.operator("GET", "/-/metrics").body())
                                 .integer("held_bytes");
                 assertTrue(held <= MANY * 2 * 64 * 1024, held + " bytes are buffered");
             }
-            try (Caller other = world.caller()) {
-                other.send(World.request("lookup", "/api", ""));
-                world.call().reply("200 OK", "small");
+            try (Client other = harness.client()) {
+                other.send(ProxyHarness.request("lookup", "/api", ""));
+                harness.nextRequest().reply("200 OK", "small");
                 assertEquals(other.read().body(), "small");
             }
             assertEquals(read(slow.get(MANY - 1).in(), LARGE).getValue(), sum(3));
-            for (Caller caller : slow) {
-                caller.close();
+            for (Client client : slow) {
+                client.close();
             }
             Await.until(
                     "the buffers of abandoned answers are released",
                     () ->
-                            JsonObject.parse(world.operator("GET", "/-/metrics").body())
+                            JsonObject.parse(harness.operator("GET", "/-/metrics").body())
                                             .integer("held_bytes")
                                     == 0);
         }
@@ -190,26 +197,27 @@
         String[] framings = {"Content-Length: 200000", "Transfer-Encoding: chunked"};
         for (String version : new String[] {"HTTP/1.1", "HTTP/1.0"}) {
             for (String framing : framings) {
-                try (World world = new World(1).start();
-                        Caller caller = world.caller()) {
-                    caller.send(World.request("lookup", STAYS, "").replace("HTTP/1.1", version));
-                    Received call = world.call();
-                    call.raw("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
-                    call.raw(
+                try (ProxyHarness harness = new ProxyHarness(1).start();
+                        Client client = harness.client()) {
+                    client.send(
+                            ProxyHarness.request("lookup", STAYS, "").replace("HTTP/1.1", version));
+                    Received request = harness.nextRequest();
+                    request.raw("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
+                    request.raw(
                             framing.startsWith("C")
                                     ? "x".repeat(100_000)
                                     : "186a0\r\n" + "x".repeat(100_000) + "\r\n");
-                    Received head = caller.readHead();
+                    Received head = client.readHead();
                     assertEquals(head.first(), "HTTP/1.1 200 OK");
-                    call.socket().close();
+                    request.socket().close();
                     boolean whole = true;
                     try {
                         int length = framing.startsWith("C") ? 200_000 : -1;
                         if (head.field("Content-Length") == null
                                 && head.field("Transfer-Encoding") == null) {
-                            caller.readAll();
+                            client.readAll();
                         } else {
-                            read(caller.in(), length);
+                            read(client.in(), length);
                         }
                     } catch (IOException e) {
                         whole = false;
@@ -226,23 +234,24 @@
      */
     @Test
     public void anAnswerToAClientThatIsGivenUpIsVisiblyIncomplete() throws Exception {
-        try (World world =
-                        new World(1)
+        try (ProxyHarness harness =
+                        new ProxyHarness(1)
                                 .with(
                                         OperatorScenarioTest.operator(
                                                 "[callers]\nanswer_patience_ms = 500\n"))
                                 .start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("lookup", STAYS, "").replace("HTTP/1.1", "HTTP/1.0"));
-            Received call = world.call();
-            call.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Nodes.daemon(() -> write(call.socket().getOutputStream(), 3, LARGE, true, new CRC32()));
-            Received head = caller.readHead();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("lookup", STAYS, "").replace("HTTP/1.1", "HTTP/1.0"));
+            Received request = harness.nextRequest();
+            request.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            TestEndpoints.daemon(
+                    () -> write(request.socket().getOutputStream(), 3, LARGE, true, new CRC32()));
+            Received head = client.readHead();
             assertEquals(head.first(), "HTTP/1.1 200 OK");
             assertNull(head.field("Content-Length"));
             assertNull(head.field("Transfer-Encoding"));
-            call.awaitEnd(); // the proxy gives up the client and cancels the attempt
-            assertThrows(SocketException.class, caller::readAll);
+            request.awaitEnd(); // the proxy gives up the client and cancels the attempt
+            assertThrows(SocketException.class, client::readAll);
         }
     }
 
@@ -254,26 +263,26 @@
     @Test
     public void aClientThatReadsASlowAnswerIsNotGivenUp() throws Exception {
         int length = 100_000;
-        try (World world =
-                        new World(1)
+        try (ProxyHarness harness =
+                        new ProxyHarness(1)
                                 .with(
                                         OperatorScenarioTest.operator(
                                                 "[callers]\nanswer_patience_ms = 500\n"))
                                 .start();
-                Caller reads = world.caller();
-                Caller deaf = world.caller()) {
-            reads.send(World.request("lookup", STAYS, "").replace("id-1", "reads"));
-            Received slow = world.call();
+                Client reads = harness.client();
+                Client nonReading = harness.client()) {
+            reads.send(ProxyHarness.request("lookup", STAYS, "").replace("id-1", "reads"));
+            Received slow = harness.nextRequest();
             slow.raw("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nx");
             assertEquals(reads.readHead().first(), "HTTP/1.1 200 OK");
             assertEquals(reads.in().read(), 'x');
-            deaf.send(World.request("lookup", STAYS, "").replace("id-1", "deaf"));
-            Received call = world.call();
-            call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
-            Nodes.daemon(
-                    () -> write(call.socket().getOutputStream(), 3, LARGE, false, new CRC32()));
-            assertEquals(deaf.readHead().first(), "HTTP/1.1 200 OK");
-            call.awaitEnd();
+            nonReading.send(ProxyHarness.request("lookup", STAYS, "").replace("id-1", "deaf"));
+            Received request = harness.nextRequest();
+            request.raw("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
+            TestEndpoints.daemon(
+                    () -> write(request.socket().getOutputStream(), 3, LARGE, false, new CRC32()));
+            assertEquals(nonReading.readHead().first(), "HTTP/1.1 200 OK");
+            request.awaitEnd();
             slow.raw("x".repeat(length - 1));
             reads.in().skipNBytes(length - 1);
         }
@@ -286,40 +295,40 @@
     @Test
     public void aResetAttemptIsRejectedBeforeTheLastByteOfTheBodyAndFailsAfterIt()
             throws Exception {
-        try (World world = new World(2).start();
-                Caller caller = world.caller();
-                Caller late = world.caller()) {
-            caller.send(upload("half"));
+        try (ProxyHarness harness = new ProxyHarness(2).start();
+                Client client = harness.client();
+                Client late = harness.client()) {
+            client.send(upload("half"));
             byte[] piece = "x".repeat(50_000).getBytes(StandardCharsets.ISO_8859_1);
             for (int i = 0; i < 4; i++) {
-                caller.send("c350\r\n" + new String(piece, StandardCharsets.ISO_8859_1) + "\r\n");
+                client.send("c350\r\n" + new String(piece, StandardCharsets.ISO_8859_1) + "\r\n");
             }
-            Received call = world.call();
-            update(new CRC32(), call.socket().getInputStream(), 150_000);
-            call.reset();
-            assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
-            assertNull(caller.read());
+            Received request = harness.nextRequest();
+            update(new CRC32(), request.socket().getInputStream(), 150_000);
+            request.reset();
+            assertEquals(client.read().first(), "HTTP/1.1 503 Service Unavailable");
+            assertNull(client.read());
             late.send(upload("whole"));
             write(late.out(), 5, 300_000, true, new CRC32());
-            Received whole = world.call();
+            Received whole = harness.nextRequest();
             read(whole.socket().getInputStream(), -1);
             whole.reset();
             assertEquals(late.read().first(), "HTTP/1.1 502 Bad Gateway");
-            assertTrue(world.calls.isEmpty(), "the request was sent again");
+            assertTrue(harness.requests.isEmpty(), "the request was sent again");
         }
     }
 
     /** An endpoint must not wait for the rest of an upload whose client has disconnected. */
     @Test
     public void aClientThatDisconnectsDuringItsUploadEndsTheAttempt() throws Exception {
-        try (World world = new World(1).start()) {
-            Received call;
-            try (Caller caller = world.caller()) {
-                caller.send(upload("leaves"));
-                caller.send("13880\r\n" + "x".repeat(80_000) + "\r\n");
-                call = world.call();
+        try (ProxyHarness harness = new ProxyHarness(1).start()) {
+            Received request;
+            try (Client client = harness.client()) {
+                client.send(upload("leaves"));
+                client.send("13880\r\n" + "x".repeat(80_000) + "\r\n");
+                request = harness.nextRequest();
             }
-            while (call.socket().getInputStream().read() >= 0) {
+            while (request.socket().getInputStream().read() >= 0) {
                 // the bytes already sent
             }
         } catch (java.net.SocketException e) {
@@ -330,19 +339,19 @@
     /** An answer that arrives slowly must not be mistaken for one without an end. */
     @Test
     public void aSmallSlowAnswerIsForwardedAsItArrives() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("lookup", STAYS, ""));
-            Received call = world.call();
-            call.raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
-            Nodes.daemon(
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("lookup", STAYS, ""));
+            Received request = harness.nextRequest();
+            request.raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
+            TestEndpoints.daemon(
                     () -> {
                         for (int i = 0; i < 100; i++) {
-                            call.raw("x");
+                            request.raw("x");
                             Thread.sleep(10);
                         }
                     });
-            assertEquals(caller.read().body(), "x".repeat(100));
+            assertEquals(client.read().body(), "x".repeat(100));
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
@@ -7,8 +7,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.operator.OperatorFile;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -25,7 +25,7 @@
 
     private static final String[] TIERS = {"front", "core", "link"};
 
-    private static World world(int tier, int nodes, String... keys) throws Exception {
+    private static ProxyHarness harness(int tier, int nodes, String... keys) throws Exception {
         Path file = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(file, "[budget]\n" + String.join("\n", keys) + "\n");
@@ -35,8 +35,8 @@
         }
     }
 
-    private static World plain(int tier, int nodes) throws Exception {
-        return new World(nodes)
+    private static ProxyHarness plain(int tier, int nodes) throws Exception {
+        return new ProxyHarness(nodes)
                 .with(
                         "\"layer\": 0, \"tiers\": [\"api\"]",
                         "\"layer\": "
@@ -54,39 +54,39 @@
         return found.find() ? Double.parseDouble(found.group(1)) : -1;
     }
 
-    private static double tries(Received call) {
-        return figure(call, "Cedar-Budget", "tries");
+    private static double tries(Received request) {
+        return figure(request, "Cedar-Budget", "tries");
     }
 
     // ---- propagation ----
 
     @Test
     public void theRemainingBudgetIsPropagatedAndTheRestOfTheRequestIsUnchanged() throws Exception {
-        try (World world = world(0, 1).start();
-                Caller caller = world.caller()) {
-            caller.send(
-                    World.request(
+        try (ProxyHarness harness = harness(0, 1).start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request(
                             "booking",
                             "/api/x?y=1",
                             "{\"a\":1}",
                             "Idempotency-Key: k1",
                             "Other: o",
                             "Cedar-Colour: red"));
-            Received call = world.call();
-            assertEquals(call.first(), "POST /api/x?y=1 HTTP/1.1");
-            assertEquals(call.body(), "{\"a\":1}");
-            assertEquals(call.field("Req-Id"), "id-1");
-            assertEquals(call.field("Idempotency-Key"), "k1");
-            assertEquals(call.field("Other"), "o");
-            assertEquals(call.field("Cedar-Colour"), "red", "unknown fields are forwarded");
-            assertEquals(tries(call), 2.0);
-            double left = figure(call, "Cedar-Budget", "left");
+            Received request = harness.nextRequest();
+            assertEquals(request.first(), "POST /api/x?y=1 HTTP/1.1");
+            assertEquals(request.body(), "{\"a\":1}");
+            assertEquals(request.field("Req-Id"), "id-1");
+            assertEquals(request.field("Idempotency-Key"), "k1");
+            assertEquals(request.field("Other"), "o");
+            assertEquals(request.field("Cedar-Colour"), "red", "unknown fields are forwarded");
+            assertEquals(tries(request), 2.0);
+            double left = figure(request, "Cedar-Budget", "left");
             assertTrue(
-                    left > 0 && left < Long.parseLong(call.field("Req-Deadline-Ms")),
+                    left > 0 && left < Long.parseLong(request.field("Req-Deadline-Ms")),
                     "left " + left);
-            assertEquals(call.field("Cedar-Path"), "1;front");
-            call.reply("200 OK", "done", "Cedar-Result: 1;spent=0", "Other: p");
-            Received answer = caller.read();
+            assertEquals(request.field("Cedar-Path"), "1;front");
+            request.reply("200 OK", "done", "Cedar-Result: 1;spent=0", "Other: p");
+            Received answer = client.read();
             assertEquals(answer.body(), "done");
             assertEquals(answer.field("Other"), "p");
             assertNull(
@@ -97,20 +97,21 @@
 
     @Test
     public void withoutTheBudgetTableItsFieldsAreForwardedLikeAnyOthers() throws Exception {
-        try (World world = plain(1, 1).start();
-                Caller caller = world.caller()) {
+        try (ProxyHarness harness = plain(1, 1).start();
+                Client client = harness.client()) {
             String budget = "1;left=5;tries=0;grant=7";
-            caller.send(
-                    World.request(
+            client.send(
+                    ProxyHarness.request(
                             "lookup", "/api", "", "Cedar-Budget: " + budget, "Cedar-Path: 1;core"));
-            Received call = world.call();
-            assertEquals(call.field("Cedar-Budget"), budget);
-            assertEquals(call.field("Cedar-Path"), "1;core");
-            call.reply("200 OK", "done", "Cedar-Result: 1;spent=0");
-            assertEquals(caller.read().field("Cedar-Result"), "1;spent=0");
-            caller.send(
-                    World.request("lookup", "/api", "").replace("Req-Deadline-Ms: 30000\r\n", ""));
-            assertEquals(caller.read().first(), "HTTP/1.1 400 Bad Request");
+            Received request = harness.nextRequest();
+            assertEquals(request.field("Cedar-Budget"), budget);
+            assertEquals(request.field("Cedar-Path"), "1;core");
+            request.reply("200 OK", "done", "Cedar-Result: 1;spent=0");
+            assertEquals(client.read().field("Cedar-Result"), "1;spent=0");
+            client.send(
+                    ProxyHarness.request("lookup", "/api", "")
+                            .replace("Req-Deadline-Ms: 30000\r\n", ""));
+            assertEquals(client.read().first(), "HTTP/1.1 400 Bad Request");
         }
     }
 
@@ -120,29 +121,29 @@
      */
     @Test
     public void aRequestWithoutADeadlineGetsTheRemainingTimeOfItsClass() throws Exception {
-        try (World world = world(1, 1).start();
-                Caller caller = world.caller()) {
-            caller.send(
-                    World.request("lookup", "/stays-for-test", "")
+        try (ProxyHarness harness = harness(1, 1).start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request("lookup", "/stays-for-test", "")
                             .replace("Req-Deadline-Ms: 30000\r\n", ""));
-            Received call = world.call();
-            long left = Long.parseLong(call.field("Req-Deadline-Ms"));
+            Received request = harness.nextRequest();
+            long left = Long.parseLong(request.field("Req-Deadline-Ms"));
             assertTrue(left > 0 && left <= 667, "two thirds of a second: " + left);
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            call.awaitEnd();
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            request.awaitEnd();
         }
     }
 
     @Test
     public void theRemainingTimeOfTheBudgetOverridesALaterDeadline() throws Exception {
-        try (World world = world(1, 1).start();
-                Caller caller = world.caller()) {
-            caller.send(
-                    World.request(
+        try (ProxyHarness harness = harness(1, 1).start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request(
                             "lookup", "/stays-for-test", "", "Cedar-Budget: 1;left=400;tries=0"));
-            Received call = world.call();
-            assertTrue(Long.parseLong(call.field("Req-Deadline-Ms")) <= 400);
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
+            Received request = harness.nextRequest();
+            assertTrue(Long.parseLong(request.field("Req-Deadline-Ms")) <= 400);
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
@@ -164,17 +165,17 @@
 
     @Test(dataProvider = "forged")
     public void forgedFieldsNeverRaiseTheBudget(String[] fields, int max) throws Exception {
-        try (World world = world(1, 1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x", fields));
-            Received call = world.call();
-            assertTrue(tries(call) <= max, call.field("Cedar-Budget"));
-            assertTrue(figure(call, "Cedar-Budget", "left") < 30_000);
-            assertTrue(figure(call, "Cedar-Budget", "worth") <= 1);
-            assertEquals(call.field("Cedar-Path"), "1;core");
-            assertFalse(call.field("Cedar-Budget").contains("colour"));
-            call.reply("200 OK", "fine", "Cedar-Result: 1;spent=-9;why=because;path=?");
-            assertEquals(caller.read().body(), "fine");
+        try (ProxyHarness harness = harness(1, 1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x", fields));
+            Received request = harness.nextRequest();
+            assertTrue(tries(request) <= max, request.field("Cedar-Budget"));
+            assertTrue(figure(request, "Cedar-Budget", "left") < 30_000);
+            assertTrue(figure(request, "Cedar-Budget", "worth") <= 1);
+            assertEquals(request.field("Cedar-Path"), "1;core");
+            assertFalse(request.field("Cedar-Budget").contains("colour"));
+            request.reply("200 OK", "fine", "Cedar-Result: 1;spent=-9;why=because;path=?");
+            assertEquals(client.read().body(), "fine");
         }
     }
 
@@ -186,73 +187,77 @@
      */
     @Test
     public void aBudgetExhaustedAfterAnAttemptThatMayHaveRunIsAFailure() throws Exception {
-        try (World world =
-                        world(1, 3)
+        try (ProxyHarness harness =
+                        harness(1, 3)
                                 .with(
                                         "\"name\": \"booking\", \"idempotency\": \"dedup\", "
                                                 + "\"key-scope\": \"all\"",
                                         "\"name\": \"booking\", \"idempotency\": \"dedup\", "
                                                 + "\"key-scope\": \"cell\"")
                                 .start();
-                Caller caller = world.caller()) {
+                Client client = harness.client()) {
             for (int tries = 1; tries >= 0; tries--) {
-                caller.send(
-                        World.request(
+                client.send(
+                        ProxyHarness.request(
                                 "booking",
                                 "/api",
                                 "x",
                                 "Idempotency-Key: k",
                                 "Cedar-Budget: 1;tries=" + tries + ";grant=" + (7 + tries)));
                 for (int i = 0; i <= tries; i++) {
-                    world.call().reset();
+                    harness.nextRequest().reset();
                 }
-                Received answer = caller.read();
+                Received answer = client.read();
                 assertEquals(answer.first(), "HTTP/1.1 502 Bad Gateway");
                 assertEquals(answer.field("Cedar-Result"), "1;spent=" + tries + ";why=tries");
-                assertTrue(world.calls.isEmpty());
+                assertTrue(harness.requests.isEmpty());
             }
         }
     }
 
     @Test
     public void aRequestThatIsSafeToRepeatIsRejectedWhenItsBudgetIsExhausted() throws Exception {
-        try (World world = world(1, 2).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("lookup", "/api", "", "Cedar-Budget: 1;tries=0;grant=7"));
-            world.call().reset();
-            Received answer = caller.read();
+        try (ProxyHarness harness = harness(1, 2).start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request("lookup", "/api", "", "Cedar-Budget: 1;tries=0;grant=7"));
+            harness.nextRequest().reset();
+            Received answer = client.read();
             assertEquals(answer.first(), "HTTP/1.1 503 Service Unavailable");
             assertEquals(answer.field("Cedar-Result"), "1;spent=0;why=tries");
-            assertTrue(world.calls.isEmpty());
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
     /** The budget permits a further attempt, but the class forbids it. */
     @Test
     public void aRequestThatMustNotRunTwiceIsNotRetriedWhateverBudgetRemains() throws Exception {
-        try (World world = world(0, 2).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            world.call().reset();
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            assertTrue(world.calls.isEmpty());
+        try (ProxyHarness harness = harness(0, 2).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            harness.nextRequest().reset();
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
     @Test
     public void theSameRequestOnTwoPathsUsesOneBudget() throws Exception {
-        try (World world = world(2, 3).start();
-                Caller first = world.caller();
-                Caller second = world.caller()) {
+        try (ProxyHarness harness = harness(2, 3).start();
+                Client first = harness.client();
+                Client second = harness.client()) {
             String budget = "Cedar-Budget: 1;tries=1;grant=abc";
-            first.send(World.request("lookup", "/api", "", budget, "Cedar-Path: 1;front,left"));
-            world.call().reset();
-            world.call().reset();
+            first.send(
+                    ProxyHarness.request("lookup", "/api", "", budget, "Cedar-Path: 1;front,left"));
+            harness.nextRequest().reset();
+            harness.nextRequest().reset();
             assertEquals(first.read().field("Cedar-Result"), "1;spent=1;why=tries");
-            second.send(World.request("lookup", "/api", "", budget, "Cedar-Path: 1;front,right"));
-            world.call().reset();
+            second.send(
+                    ProxyHarness.request(
+                            "lookup", "/api", "", budget, "Cedar-Path: 1;front,right"));
+            harness.nextRequest().reset();
             assertEquals(second.read().field("Cedar-Result"), "1;spent=1;why=tries");
-            assertTrue(world.calls.isEmpty());
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
@@ -260,39 +265,41 @@
 
     @Test
     public void anOverloadRejectionByALowerTierIsNotRetriedAndReducesAdmission() throws Exception {
-        try (World world = world(1, 3).start();
-                Caller caller = world.caller()) {
+        try (ProxyHarness harness = harness(1, 3).start();
+                Client client = harness.client()) {
             String budget = "Cedar-Budget: 1;tries=3;grant=";
             int refused = 0;
             for (int i = 1; refused == 0; i++) {
                 assertTrue(i < 20_000, "every request is admitted");
                 // The priority weight is 1 in 300 ms for lookups and 2 in 1,000 for orders: orders
                 // weigh less for their work.
-                caller.send(
-                        World.request("lookup", "/api", "", budget + i).replace("id-1", "l" + i));
-                world.call().reply("500 Error", "", "Cedar-Result: 1;spent=0;why=overload");
-                Received answer = caller.read();
+                client.send(
+                        ProxyHarness.request("lookup", "/api", "", budget + i)
+                                .replace("id-1", "l" + i));
+                harness.nextRequest()
+                        .reply("500 Error", "", "Cedar-Result: 1;spent=0;why=overload");
+                Received answer = client.read();
                 assertEquals(answer.first(), "HTTP/1.1 503 Service Unavailable");
                 assertEquals(answer.field("Cedar-Result"), "1;spent=0;why=overload");
-                caller.send(
-                        World.request("order", "/api", "x", budget + "f" + i)
+                client.send(
+                        ProxyHarness.request("order", "/api", "x", budget + "f" + i)
                                 .replace("id-1", "o" + i));
                 // The order either reaches an endpoint or is rejected before any endpoint has
                 // received it.
-                Nodes.daemon(() -> world.calls.add(caller.read()));
-                Received next = world.call();
+                TestEndpoints.daemon(() -> harness.requests.add(client.read()));
+                Received next = harness.nextRequest();
                 if (next.first().startsWith("POST")) {
                     next.reply("200 OK", "");
-                    assertEquals(world.call().first(), "HTTP/1.1 200 OK");
+                    assertEquals(harness.nextRequest().first(), "HTTP/1.1 200 OK");
                 } else {
                     refused++;
                     assertEquals(next.first(), "HTTP/1.1 503 Service Unavailable");
                     assertEquals(next.field("Cedar-Result"), "1;spent=0;why=overload");
                 }
             }
-            caller.send(World.request("lookup", "/api", "", budget + "aaaa"));
-            world.call().reply("200 OK", "the highest priority is still admitted");
-            assertEquals(caller.read().body(), "the highest priority is still admitted");
+            client.send(ProxyHarness.request("lookup", "/api", "", budget + "aaaa"));
+            harness.nextRequest().reply("200 OK", "the highest priority is still admitted");
+            assertEquals(client.read().body(), "the highest priority is still admitted");
         }
     }
 
@@ -302,25 +309,26 @@
     @Test
     public void aLoopIsRejectedWhereItClosesAndItsPathIsInTheAnswerAndOnceInTheLog()
             throws Exception {
-        try (World front = world(0, 1).start();
-                World core = world(1, 1).start();
-                Caller caller = front.caller()) {
+        try (ProxyHarness front = harness(0, 1).start();
+                ProxyHarness core = harness(1, 1).start();
+                Client client = front.client()) {
             AtomicInteger seen = new AtomicInteger();
-            Nodes.play(
+            TestEndpoints.handleRequests(
                     front,
-                    call -> {
+                    request -> {
                         seen.incrementAndGet();
-                        Nodes.relay(core.port, true).serve(call);
+                        TestEndpoints.relay(core.port, true).serve(request);
                     });
-            Nodes.play(
+            TestEndpoints.handleRequests(
                     core,
-                    call -> {
+                    request -> {
                         seen.incrementAndGet();
-                        Nodes.relay(front.port, true).serve(call);
+                        TestEndpoints.relay(front.port, true).serve(request);
                     });
             for (int i = 1; i <= 3; i++) {
-                caller.send(World.request("lookup", "/api", "").replace("id-1", "loop-" + i));
-                Received answer = caller.read();
+                client.send(
+                        ProxyHarness.request("lookup", "/api", "").replace("id-1", "loop-" + i));
+                Received answer = client.read();
                 assertEquals(answer.first(), "HTTP/1.1 503 Service Unavailable");
                 assertEquals(answer.body(), "a loop: front > core > front\n");
                 assertEquals(seen.get(), 2 * i, "one round without retries");
@@ -339,37 +347,37 @@
     /** An old daemon forwards unknown fields, and its endpoints copy them. */
     @Test
     public void anOldDaemonBetweenNewOnesForwardsTheBudgetFields() throws Exception {
-        try (World front = world(0, 1).start();
-                World core = plain(1, 1).start();
-                World link = world(2, 1).start();
-                Caller caller = front.caller()) {
-            Nodes.play(front, Nodes.relay(core.port, true));
-            Nodes.play(core, Nodes.relay(link.port, true));
-            caller.send(World.request("order", "/api", "x"));
-            Received call = link.call();
-            assertEquals(call.field("Cedar-Path"), "1;front,link");
-            assertEquals(tries(call), 0.0, "the last tier passes no retries on");
-            call.reply("200 OK", "through");
-            assertEquals(caller.read().body(), "through");
+        try (ProxyHarness front = harness(0, 1).start();
+                ProxyHarness core = plain(1, 1).start();
+                ProxyHarness link = harness(2, 1).start();
+                Client client = front.client()) {
+            TestEndpoints.handleRequests(front, TestEndpoints.relay(core.port, true));
+            TestEndpoints.handleRequests(core, TestEndpoints.relay(link.port, true));
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received request = link.nextRequest();
+            assertEquals(request.field("Cedar-Path"), "1;front,link");
+            assertEquals(tries(request), 0.0, "the last tier passes no retries on");
+            request.reply("200 OK", "through");
+            assertEquals(client.read().body(), "through");
         }
     }
 
     @Test
     public void aTierThatReceivesNoBudgetFieldsUsesItsOwnBudget() throws Exception {
-        try (World front = world(0, 1).start();
-                World core = world(1, 3).start();
-                Caller caller = front.caller()) {
-            Nodes.play(front, Nodes.relay(core.port, false));
-            caller.send(World.request("lookup", "/api", ""));
-            Received first = core.call();
+        try (ProxyHarness front = harness(0, 1).start();
+                ProxyHarness core = harness(1, 3).start();
+                Client client = front.client()) {
+            TestEndpoints.handleRequests(front, TestEndpoints.relay(core.port, false));
+            client.send(ProxyHarness.request("lookup", "/api", ""));
+            Received first = core.nextRequest();
             assertEquals(first.field("Cedar-Path"), "1;core");
             assertEquals(tries(first), 0.0);
             first.reset();
-            Received second = core.call();
+            Received second = core.nextRequest();
             assertNotEquals(second.socket().getLocalPort(), first.socket().getLocalPort());
             second.reset();
-            assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
-            assertTrue(core.calls.isEmpty(), "exactly one further attempt");
+            assertEquals(client.read().first(), "HTTP/1.1 503 Service Unavailable");
+            assertTrue(core.requests.isEmpty(), "exactly one further attempt");
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/ChainIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ChainIT.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -38,20 +38,20 @@
      * The number of requests that an endpoint of each tier sends to the next tier, one after
      * another.
      */
-    private static final int[] CALLS = {2, 1, 0};
+    private static final int[] REQUESTS_TO_NEXT_TIER = {2, 1, 0};
 
     private static final int TRIES = 3;
 
     /** The attempts and requests of one tree, by tier. */
     private static final class Tree {
         final AtomicIntegerArray attempts = new AtomicIntegerArray(TIERS);
-        final AtomicIntegerArray calls = new AtomicIntegerArray(TIERS);
+        final AtomicIntegerArray requests = new AtomicIntegerArray(TIERS);
 
         /** Returns the number of attempts beyond the first one of each request. */
         int further() {
             int further = 0;
             for (int i = 0; i < TIERS; i++) {
-                further += attempts.get(i) - calls.get(i);
+                further += attempts.get(i) - requests.get(i);
             }
             return further;
         }
@@ -62,56 +62,56 @@
      * process in front of them.
      */
     private static final class Chain implements AutoCloseable {
-        final List<World> worlds = new ArrayList<>();
+        final List<ProxyHarness> harnesses = new ArrayList<>();
         final List<Process> processes = new ArrayList<>();
         final Map<String, Tree> trees = new ConcurrentHashMap<>();
         final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
 
-        Chain(boolean budgets, Nodes.Node lastTier) throws Exception {
+        Chain(boolean budgets, TestEndpoints.RequestHandler lastTier) throws Exception {
             for (int tier = 0; tier < TIERS; tier++) {
-                World world =
-                        new World(NODES)
+                ProxyHarness harness =
+                        new ProxyHarness(NODES)
                                 .with(
                                         "\"layer\": 0, \"tiers\": [\"api\"]",
                                         "\"layer\": "
                                                 + tier
                                                 + ", \"tiers\": [\"front\", \"core\", \"link\"]")
                                 .with("\"max-attempts\": 3", "\"max-attempts\": 4");
-                worlds.add(world);
-                processes.add(serve(world, budgets));
+                harnesses.add(harness);
+                processes.add(serve(harness, budgets));
             }
             for (Process process : processes) {
                 awaitListening(process);
             }
             for (int tier = 0; tier < TIERS; tier++) {
                 int own = tier;
-                Nodes.play(
-                        worlds.get(tier),
-                        call -> {
-                            tree(call).attempts.incrementAndGet(own);
-                            if (CALLS[own] == 0) {
-                                lastTier.serve(call);
+                TestEndpoints.handleRequests(
+                        harnesses.get(tier),
+                        request -> {
+                            tree(request).attempts.incrementAndGet(own);
+                            if (REQUESTS_TO_NEXT_TIER[own] == 0) {
+                                lastTier.serve(request);
                             } else {
-                                callDown(own, call);
+                                requestNextTier(own, request);
                             }
                         });
             }
         }
 
-        private Tree tree(Received call) {
-            return trees.computeIfAbsent(call.field("Test-Tree"), name -> new Tree());
+        private Tree tree(Received request) {
+            return trees.computeIfAbsent(request.field("Test-Tree"), name -> new Tree());
         }
 
-        private void callDown(int tier, Received call) throws IOException {
+        private void requestNextTier(int tier, Received request) throws IOException {
             Received answer = null;
-            for (int i = 0; i < CALLS[tier]; i++) {
-                tree(call).calls.incrementAndGet(tier + 1);
+            for (int i = 0; i < REQUESTS_TO_NEXT_TIER[tier]; i++) {
+                tree(request).requests.incrementAndGet(tier + 1);
                 answer =
-                        Nodes.call(
-                                worlds.get(tier + 1).port,
-                                call,
-                                Nodes.copied(
-                                        call,
+                        TestEndpoints.forward(
+                                harnesses.get(tier + 1).port,
+                                request,
+                                TestEndpoints.copyFields(
+                                        request,
                                         "Cedar-Budget",
                                         "Cedar-Path",
                                         "Test-Tree",
@@ -120,18 +120,18 @@
                     break;
                 }
             }
-            Nodes.pass(call, answer, true);
+            TestEndpoints.pass(request, answer, true);
         }
 
         /** Sends a client's first request and returns its answer. */
-        Received ask(Caller caller, String kind, int number) throws IOException {
+        Received send(Client client, String kind, int number) throws IOException {
             String name = kind + "-" + number;
-            trees.computeIfAbsent(name, added -> new Tree()).calls.incrementAndGet(0);
-            caller.send(
-                    World.request(kind, "/api", "", "Test-Tree: " + name, "Req-Cost: 20000")
+            trees.computeIfAbsent(name, added -> new Tree()).requests.incrementAndGet(0);
+            client.send(
+                    ProxyHarness.request(kind, "/api", "", "Test-Tree: " + name, "Req-Cost: 20000")
                             .replace("id-1", name)
                             .replace("30000", "2000"));
-            return caller.read();
+            return client.read();
         }
 
         /** Returns whether the first proxy rejected a request before any endpoint received it. */
@@ -144,16 +144,16 @@
             for (Process process : processes) {
                 process.destroyForcibly();
             }
-            for (World world : worlds) {
-                world.close();
+            for (ProxyHarness harness : harnesses) {
+                harness.close();
             }
             clock.shutdownNow();
         }
     }
 
-    private static Process serve(World world, boolean budgets) throws Exception {
+    private static Process serve(ProxyHarness harness, boolean budgets) throws Exception {
         Path configuration = Files.createTempFile("cedarrudder", ".json");
-        Files.writeString(configuration, world.configuration());
+        Files.writeString(configuration, harness.configuration());
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, budgets ? "[budget]\ntries = " + TRIES + "\n" : "");
         ProcessBuilder builder =
@@ -181,7 +181,7 @@
                 lines,
                 line -> line.contains("proxy.started"));
         // Keeps reading, so that a full pipe never blocks the proxy.
-        Nodes.daemon(() -> lines.lines().forEach(each -> {}));
+        TestEndpoints.daemon(() -> lines.lines().forEach(each -> {}));
     }
 
     /** The result of a run; attempts are counted where they reach endpoints. */
@@ -200,9 +200,9 @@
 
     private static Run run(Chain chain, int requests) throws IOException {
         int served = 0;
-        try (Caller caller = chain.worlds.get(0).caller()) {
+        try (Client client = chain.harnesses.get(0).client()) {
             for (int i = 0; i < requests; i++) {
-                served += chain.ask(caller, "lookup", i).first().contains(" 200 ") ? 1 : 0;
+                served += chain.send(client, "lookup", i).first().contains(" 200 ") ? 1 : 0;
             }
         }
         double[] multiples = new double[TIERS];
@@ -213,7 +213,7 @@
                 multiples[tier] += tree.attempts.get(tier) / first;
                 max = Math.max(max, tree.further());
             }
-            first *= CALLS[tier];
+            first *= REQUESTS_TO_NEXT_TIER[tier];
         }
         return new Run(multiples, max, served);
     }
@@ -226,7 +226,7 @@
     public void oneFirstRequestCausesNoMoreRetriesThanItsBudgetWhenAllAttemptsFail()
             throws Exception {
         for (boolean budgets : new boolean[] {true, false}) {
-            try (Chain chain = new Chain(budgets, call -> call.reply("500 Error", ""))) {
+            try (Chain chain = new Chain(budgets, request -> request.reply("500 Error", ""))) {
                 Run run = run(chain, 20);
                 System.out.println("all fail, budgets " + budgets + ": " + run);
                 assertTrue(run.max > 0 && budgets == run.max <= TRIES, run.toString());
@@ -245,7 +245,7 @@
         int requests = 80;
         for (boolean budgets : new boolean[] {true, false}) {
             Chain[] made = new Chain[1];
-            try (Chain chain = new Chain(budgets, call -> answerLater(made[0], call))) {
+            try (Chain chain = new Chain(budgets, request -> answerLater(made[0], request))) {
                 made[0] = chain;
                 Run run = run(chain, requests);
                 System.out.println("a slow endpoint, budgets " + budgets + ": " + run);
@@ -254,7 +254,7 @@
                     // The stated bound: a retry fraction of 0.2, and 5 in a window; the run takes
                     // less than three windows.
                     assertTrue(run.multiples[tier] <= 1.2 + 15 / first, run.toString());
-                    first *= CALLS[tier];
+                    first *= REQUESTS_TO_NEXT_TIER[tier];
                 }
                 assertTrue(!budgets || run.max <= TRIES, run.toString());
             }
@@ -272,45 +272,47 @@
         try (Chain chain =
                         new Chain(
                                 true,
-                                call -> {
+                                request -> {
                                     if (overloaded.get()) {
-                                        call.reply("503 Full", "", "Srv-Declined: 1");
+                                        request.reply("503 Full", "", "Srv-Declined: 1");
                                     } else {
-                                        call.reply("200 OK", "done");
+                                        request.reply("200 OK", "done");
                                     }
                                 });
-                Caller caller = chain.worlds.get(0).caller()) {
+                Client client = chain.harnesses.get(0).client()) {
             int next = 0;
             boolean orderRejected = false;
             while (!orderRejected) {
                 assertTrue(++next < 5_000, "the first tier admits every request");
                 // Lookups have a higher priority weight for their work than orders.
                 assertEquals(
-                        chain.ask(caller, "lookup", next).first(),
+                        chain.send(client, "lookup", next).first(),
                         "HTTP/1.1 503 Service Unavailable");
                 assertTrue(
                         !chain.unsent("lookup", next), "the highest priority was rejected first");
-                chain.ask(caller, "order", next);
+                chain.send(client, "order", next);
                 orderRejected = chain.unsent("order", next);
             }
             overloaded.set(false);
             int served = 0;
             while (served < 20) {
                 assertTrue(++next < 10_000, "orders are never admitted again");
-                chain.ask(caller, "lookup", next);
+                chain.send(client, "lookup", next);
                 served =
-                        chain.ask(caller, "order", next).first().contains(" 200 ") ? served + 1 : 0;
+                        chain.send(client, "order", next).first().contains(" 200 ")
+                                ? served + 1
+                                : 0;
             }
         }
     }
 
-    private static void answerLater(Chain chain, Received call) {
+    private static void answerLater(Chain chain, Received request) {
         boolean slow =
-                call.socket().getLocalPort()
-                        == chain.worlds.get(TIERS - 1).nodes.get(0).server.getLocalPort();
+                request.socket().getLocalPort()
+                        == chain.harnesses.get(TIERS - 1).nodes.get(0).server.getLocalPort();
         chain.clock.schedule(
                 () -> {
-                    call.reply("200 OK", "done");
+                    request.reply("200 OK", "done");
                     return null;
                 },
                 slow ? 400 : 5,
--- a/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.program.World.Caller;
+import cedarrudder.program.ProxyHarness.Client;
 import cedarrudder.toml.ConfigDocument;
 import java.io.File;
 import java.io.IOException;
@@ -29,7 +29,7 @@
     private static final String FROM_ARCHIVE = "shared objects file (top)";
 
     private static final String JAR = "daemon/target/cedarrudder.jar";
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     /** The result of a run: the source of each class, and the text of both output streams. */
     private record Run(Map<String, String> sources, String out, String err) {}
@@ -42,8 +42,8 @@
         Path out = Files.createTempFile("cedarrudder", ".out");
         Path err = Files.createTempFile("cedarrudder", ".err");
         Path configuration = Files.createTempFile("cedarrudder", ".json");
-        try (World world = new World(1)) {
-            Files.writeString(configuration, world.configuration());
+        try (ProxyHarness harness = new ProxyHarness(1)) {
+            Files.writeString(configuration, harness.configuration());
             ProcessBuilder builder =
                     new ProcessBuilder(
                                     "/bin/sh",
@@ -63,17 +63,17 @@
             Process process = builder.start();
             try {
                 for (int i = 0; !Files.readString(err).contains("proxy.started"); i++) {
-                    assertTrue(process.isAlive() && i < PATIENCE_MILLIS, Files.readString(err));
+                    assertTrue(process.isAlive() && i < TIMEOUT_MILLIS, Files.readString(err));
                     Thread.sleep(1);
                 }
-                try (Caller caller = world.caller()) {
-                    caller.send(World.request("lookup", "/api", ""));
-                    world.call().reply("200 OK", "served");
-                    assertEquals(caller.read().body(), "served");
+                try (Client client = harness.client()) {
+                    client.send(ProxyHarness.request("lookup", "/api", ""));
+                    harness.nextRequest().reply("200 OK", "served");
+                    assertEquals(client.read().body(), "served");
                 }
             } finally {
                 process.destroy();
-                assertTrue(process.waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+                assertTrue(process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             }
             Map<String, String> sources = new HashMap<>();
             for (String line : Files.readAllLines(loaded, StandardCharsets.UTF_8)) {
--- a/daemon/src/test/java/cedarrudder/program/EndpointListCheckTest.java
+++ b/daemon/src/test/java/cedarrudder/program/EndpointListCheckTest.java
@@ -22,7 +22,7 @@
             new ProcessLimits(56 * MEGABYTE, 192 * MEGABYTE, 20 * MEGABYTE, 1_024);
 
     /** The output of a check, and whether everything fits. */
-    private record Said(boolean fits, String text) {
+    private record Report(boolean fits, String text) {
         String line(String start) {
             return text.lines().filter(line -> line.startsWith(start)).findFirst().orElse("");
         }
@@ -34,33 +34,33 @@
         return file;
     }
 
-    private static Said check(ProcessLimits limits, Path list, Path before) {
-        StringWriter said = new StringWriter();
+    private static Report check(ProcessLimits limits, Path list, Path before) {
+        StringWriter report = new StringWriter();
         OperatorFile operator =
                 OperatorFile.NONE.with(
                         FootprintTable.FOOTPRINT,
                         new FootprintSettings(0.5, 1_000, 1_000_000_000L));
         boolean fits =
-                new EndpointListCheck(operator, limits, new PrintWriter(said, true))
+                new EndpointListCheck(operator, limits, new PrintWriter(report, true))
                         .check(list, before);
-        return new Said(fits, said.toString());
+        return new Report(fits, report.toString());
     }
 
     /** An operator must be able to learn that a list does not fit before a proxy receives it. */
     @Test
     public void checkReportsWhetherAListFitsOrFitsInStepsOrWhichBoundItExceeds() throws Exception {
         Path list = file(RetainedEndpointList.list(0, 10_000, 3));
-        Said fits = check(RUN, list, null);
+        Report fits = check(RUN, list, null);
         assertTrue(fits.fits, fits.text);
         assertTrue(fits.line("nodes: ").startsWith("nodes: fit; heap_at_peak needs "), fits.text);
         assertTrue(
                 fits.line("one more node: ")
                         .matches("one more node: 1\\d{3} at rest, 2\\d{3} at the peak"));
-        Said steps = check(RUN, list, file(RetainedEndpointList.list(100_000, 10_000, 3)));
+        Report steps = check(RUN, list, file(RetainedEndpointList.list(100_000, 10_000, 3)));
         assertTrue(
                 steps.fits && steps.line("nodes: ").startsWith("nodes: fit in steps of ["),
                 steps.text);
-        Said never = check(RUN, file(RetainedEndpointList.list(0, 28_000, 3)), null);
+        Report never = check(RUN, file(RetainedEndpointList.list(0, 28_000, 3)), null);
         assertTrue(
                 !never.fits
                         && never.line("nodes: ")
@@ -68,7 +68,7 @@
                                         "nodes: don't fit, \\d+ of them in no step; "
                                                 + "heap_at_rest needs \\d+ of \\d+, \\d+ too many"),
                 never.text);
-        Said few =
+        Report few =
                 check(
                         new ProcessLimits(8 * MEGABYTE, 0, 0, 0),
                         file(RetainedEndpointList.list(0, 999, 3)),
@@ -90,7 +90,7 @@
                     new ProcessLimits(1 << 30, 0, MEGABYTE, 0),
                     new ProcessLimits(1 << 30, 0, 0, 700)
                 }) {
-            Said said = check(tight, list, null);
+            Report report = check(tight, list, null);
             String bound =
                     tight.resident() > 0
                             ? "resident"
@@ -98,8 +98,8 @@
                                     ? "direct"
                                     : tight.descriptors() > 0 ? "descriptors" : "heap_at_rest";
             assertTrue(
-                    said.line("process: ").startsWith("process: does not fit; " + bound),
-                    said.text);
+                    report.line("process: ").startsWith("process: does not fit; " + bound),
+                    report.text);
         }
     }
 
@@ -113,11 +113,11 @@
                                 RetainedEndpointList.list(0, 50, 1)
                                         .replaceFirst("^.*\"servers\":", "\"servers\":")
                                         .replaceFirst("}$", ""));
-        Said said =
+        Report report =
                 check(RUN, file(example.replace("\"sockets\": 1024", "\"sockets\": 200")), null);
-        assertTrue(said.fits, said.text);
-        assertEquals(said.line("classes").split(" +")[1], "3");
-        assertEquals(said.line("callers").split(" +")[1], "100");
+        assertTrue(report.fits, report.text);
+        assertEquals(report.line("classes").split(" +")[1], "3");
+        assertEquals(report.line("callers").split(" +")[1], "100");
     }
 
     /** An unreadable file must be reported as such rather than with an internal error. */
@@ -133,12 +133,12 @@
                     "{\"known\":{\"servers\":[{}]}}"
                 }) {
             Path file = file(text);
-            Said said = check(RUN, file, null);
+            Report report = check(RUN, file, null);
             assertTrue(
-                    !said.fits && said.text.matches(file + ": found .+; allowed: .+\\R"),
-                    said.text);
+                    !report.fits && report.text.matches(file + ": found .+; allowed: .+\\R"),
+                    report.text);
         }
-        Said gone = check(RUN, Path.of("nowhere.json"), null);
+        Report gone = check(RUN, Path.of("nowhere.json"), null);
         assertTrue(gone.text.startsWith("nowhere.json: can't be read: "), gone.text);
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.io.IOException;
 import java.net.SocketException;
@@ -20,19 +20,20 @@
  */
 public class FaultScenarioTest {
 
-    private static long figure(World world, String name) throws IOException {
-        return JsonObject.parse(world.operator("GET", "/-/metrics").body()).integer(name);
+    private static long figure(ProxyHarness harness, String name) throws IOException {
+        return JsonObject.parse(harness.operator("GET", "/-/metrics").body()).integer(name);
     }
 
-    private static void awaitFigure(World world, String name, long value) throws Exception {
-        for (int i = 0; figure(world, name) != value; i++) {
-            assertTrue(i < 5_000, name + " stays at " + figure(world, name));
+    private static void awaitFigure(ProxyHarness harness, String name, long value)
+            throws Exception {
+        for (int i = 0; figure(harness, name) != value; i++) {
+            assertTrue(i < 5_000, name + " stays at " + figure(harness, name));
             Thread.sleep(1);
         }
     }
 
     private static String upload(String id) {
-        return World.request("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
+        return ProxyHarness.request("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
                 .replace("Content-Length: 0\r\n", "")
                 .replace("id-1", id);
     }
@@ -44,35 +45,37 @@
      */
     @Test
     public void aBodyThatNoEndpointReceivedIsReleasedAfterItsAnswer() throws Exception {
-        try (World world = new World(1).withAdmin()) {
-            world.nodes.get(0).close(); // closed first, so that no probe's connection to it remains
-            world.start();
+        try (ProxyHarness harness = new ProxyHarness(1).withAdmin()) {
+            harness.nodes
+                    .get(0)
+                    .close(); // closed first, so that no probe's connection to it remains
+            harness.start();
             for (int i = 0; i < 20; i++) {
-                try (Caller caller = world.caller()) {
-                    caller.send(
+                try (Client client = harness.client()) {
+                    client.send(
                             upload("whole-" + i)
                                     + "10064\r\n"
                                     + "x".repeat(0x10064)
                                     + "\r\n0\r\n\r\n");
-                    assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
+                    assertEquals(client.read().first(), "HTTP/1.1 503 Service Unavailable");
                 }
             }
-            awaitFigure(world, "held_bytes", 0);
-            assertEquals(figure(world, "open_requests"), 0);
+            awaitFigure(harness, "held_bytes", 0);
+            assertEquals(figure(harness, "open_requests"), 0);
         }
     }
 
     /** Memory must be bounded for many complete requests of 64 KiB each in flight. */
     @Test
     public void aCompleteBodyStaysInTheBufferAccountUntilItsAnswer() throws Exception {
-        try (World world = new World(1).withAdmin().start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x".repeat(1000)));
-            Received call = world.call();
-            assertEquals(figure(world, "held_bytes"), 1000);
-            call.reply("200 OK", "done");
-            assertEquals(caller.read().body(), "done");
-            awaitFigure(world, "held_bytes", 0);
+        try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x".repeat(1000)));
+            Received received = harness.nextRequest();
+            assertEquals(figure(harness, "held_bytes"), 1000);
+            received.reply("200 OK", "done");
+            assertEquals(client.read().body(), "done");
+            awaitFigure(harness, "held_bytes", 0);
         }
     }
 
@@ -82,15 +85,15 @@
      */
     @Test
     public void aRequestWithAMalformedBodyGetsOneAnswer() throws Exception {
-        try (World world = new World(1).withAdmin().start();
-                Caller caller = world.caller()) {
-            caller.send(upload("spoilt") + "13880\r\n" + "x".repeat(80_000) + "\r\n");
-            world.call();
-            caller.send("what\r\n");
-            assertEquals(caller.readAll().split("HTTP/1.1 ", -1).length - 1, 1, "answers");
-            awaitFigure(world, "open_requests", 0);
+        try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start();
+                Client client = harness.client()) {
+            client.send(upload("spoilt") + "13880\r\n" + "x".repeat(80_000) + "\r\n");
+            harness.nextRequest();
+            client.send("what\r\n");
+            assertEquals(client.readAll().split("HTTP/1.1 ", -1).length - 1, 1, "answers");
+            awaitFigure(harness, "open_requests", 0);
             assertEquals(
-                    JsonObject.parse(world.operator("GET", "/-/metrics").body())
+                    JsonObject.parse(harness.operator("GET", "/-/metrics").body())
                             .child("operations")
                             .child("order")
                             .integer("left"),
@@ -101,35 +104,35 @@
     /** A load that another process reported at the endpoint's former address must not be used. */
     @Test
     public void aProbeAnswerFromAnEndpointsFormerAddressIsIgnored() throws Exception {
-        try (World world = new World(2).start();
-                Caller caller = world.caller()) {
-            world.probesWait = true;
-            Received watch = World.await(world.lookups);
-            watch.raw(World.STREAM);
-            World.Peer former = world.nodes.get(0);
+        try (ProxyHarness harness = new ProxyHarness(2).start();
+                Client client = harness.client()) {
+            harness.probesWait = true;
+            Received watch = ProxyHarness.await(harness.lookups);
+            watch.raw(ProxyHarness.STREAM);
+            ProxyHarness.Peer former = harness.nodes.get(0);
             Received quick = null;
             Received slow = null;
             for (int i = 0; quick == null || slow == null; i++) {
-                call(world, caller, "early-" + i);
-                for (Received probe = world.probes.poll();
+                serveOne(harness, client, "early-" + i);
+                for (Received probe = harness.probes.poll();
                         probe != null;
-                        probe = world.probes.poll()) {
+                        probe = harness.probes.poll()) {
                     boolean first = probe.socket().getLocalPort() == former.server.getLocalPort();
                     quick = first && quick == null ? probe : quick;
                     slow = first || slow != null ? slow : probe;
                 }
             }
-            world.nodes.set(0, world.new Peer(world.calls));
+            harness.nodes.set(0, harness.new Peer(harness.requests));
             watch.chunk(
                     "{\"version\":2,\"full\":true,\"servers\":["
-                            + world.entries("in_service")
+                            + harness.entries("in_service")
                             + "]}\n");
             quick.reply("200 OK", "TEXT latency_ms=1, inflight=0");
             slow.reply("200 OK", "TEXT latency_ms=900, inflight=9");
             for (int i = 0; i < 10; i++) {
                 assertEquals(
-                        call(world, caller, "late-" + i),
-                        world.nodes.get(1).server.getLocalPort(),
+                        serveOne(harness, client, "late-" + i),
+                        harness.nodes.get(1).server.getLocalPort(),
                         "the only endpoint with a load report");
             }
             former.close();
@@ -137,51 +140,52 @@
     }
 
     /** Serves one request, and returns the port of the endpoint that served it. */
-    private static int call(World world, Caller caller, String id) throws Exception {
-        caller.send(World.request("order", "/api", "x").replace("id-1", id));
-        Received call = world.call();
-        call.reply("200 OK", "done");
-        assertEquals(caller.read().body(), "done");
-        return call.socket().getLocalPort();
+    private static int serveOne(ProxyHarness harness, Client client, String id) throws Exception {
+        client.send(ProxyHarness.request("order", "/api", "x").replace("id-1", id));
+        Received received = harness.nextRequest();
+        received.reply("200 OK", "done");
+        assertEquals(client.read().body(), "done");
+        return received.socket().getLocalPort();
     }
 
     /** An endpoint that breaks off each large answer must not count as successful. */
     @Test
     public void anEndpointThatBreaksOffItsAnswersCountsAsFailing() throws Exception {
-        try (World world = new World(1).withAdmin().start()) {
-            for (int i = 0; i < 8 && figure(world, "out_of_rotation") == 0; i++) {
-                try (Caller caller = world.caller()) {
-                    caller.send(
-                            World.request("lookup", "/stays-for-test", "")
+        try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start()) {
+            for (int i = 0; i < 8 && figure(harness, "out_of_rotation") == 0; i++) {
+                try (Client client = harness.client()) {
+                    client.send(
+                            ProxyHarness.request("lookup", "/stays-for-test", "")
                                     .replace("id-1", "large-" + i));
-                    Received call = world.call();
-                    call.raw(
+                    Received received = harness.nextRequest();
+                    received.raw(
                             "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
                                     + "x".repeat(100_000));
-                    assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
-                    call.socket().close();
-                    awaitFigure(world, "open_requests", 0);
+                    assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
+                    received.socket().close();
+                    awaitFigure(harness, "open_requests", 0);
                 }
             }
-            assertEquals(figure(world, "out_of_rotation"), 1);
+            assertEquals(figure(harness, "out_of_rotation"), 1);
         }
     }
 
     /** An endpoint must not go on with an answer whose client has disconnected. */
     @Test
     public void aClientThatDisconnectsDuringItsAnswerEndsTheAttempt() throws Exception {
-        try (World world = new World(1).withAdmin().start()) {
-            Received call;
-            try (Caller caller = world.caller()) {
-                caller.send(World.request("lookup", "/stays-for-test", ""));
-                call = world.call();
-                call.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
-                assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
+        try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start()) {
+            Received received;
+            try (Client client = harness.client()) {
+                client.send(ProxyHarness.request("lookup", "/stays-for-test", ""));
+                received = harness.nextRequest();
+                received.raw(
+                        "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
+                assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
             }
-            call.awaitEnd();
-            awaitFigure(world, "open_requests", 0);
-            awaitFigure(world, "held_bytes", 0);
-            assertFalse(world.log.toString().contains("failed"), world.log.toString());
+            received.awaitEnd();
+            awaitFigure(harness, "open_requests", 0);
+            awaitFigure(harness, "held_bytes", 0);
+            assertFalse(harness.log.toString().contains("failed"), harness.log.toString());
         }
     }
 
@@ -192,16 +196,16 @@
     @Test
     public void anAnswerTruncatedAtAnyByteIsServedWholeOrNotAtAll() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
-        try (World world = new World(1).withAdmin().start()) {
+        try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start()) {
             for (int cut = 0; cut <= answer.length(); cut++) {
-                try (Caller caller = world.caller()) {
-                    caller.send(
-                            World.request("order", "/stays-for-test", "x")
+                try (Client client = harness.client()) {
+                    client.send(
+                            ProxyHarness.request("order", "/stays-for-test", "x")
                                     .replace("id-1", "cut-" + cut));
-                    Received call = world.call();
-                    call.raw(answer.substring(0, cut));
-                    call.socket().close();
-                    Received got = caller.read();
+                    Received received = harness.nextRequest();
+                    received.raw(answer.substring(0, cut));
+                    received.socket().close();
+                    Received got = client.read();
                     assertEquals(
                             got.first() + got.body(),
                             cut < answer.length()
@@ -210,19 +214,20 @@
                             "cut at " + cut);
                 }
             }
-            awaitFigure(world, "open_requests", 0);
-            assertEquals(figure(world, "relayed"), answer.length() + 1);
+            awaitFigure(harness, "open_requests", 0);
+            assertEquals(figure(harness, "relayed"), answer.length() + 1);
         }
     }
 
     /** Opens this many clients, each of which sends a request that an endpoint is to answer. */
-    private static List<Caller> crowd(World world, int callers) throws Exception {
-        List<Caller> crowd = new ArrayList<>();
-        for (int i = 0; i < callers; i++) {
-            crowd.add(world.caller());
-            crowd.get(i).send(World.request("order", "/api", "x").replace("id-1", "crowd-" + i));
+    private static List<Client> connectClients(ProxyHarness harness, int count) throws Exception {
+        List<Client> clients = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            clients.add(harness.client());
+            clients.get(i)
+                    .send(ProxyHarness.request("order", "/api", "x").replace("id-1", "crowd-" + i));
         }
-        return crowd;
+        return clients;
     }
 
     /** Attempts must not use up the descriptors of operators and discovery. */
@@ -231,27 +236,30 @@
             throws Exception {
         int sockets = 240;
         int max = sockets / 2 - 48;
-        try (World world =
-                new World(40)
+        try (ProxyHarness harness =
+                new ProxyHarness(40)
                         .with("\"sockets\": 1024", "\"sockets\": " + sockets)
                         .withAdmin()
                         .start()) {
-            List<Caller> crowd = crowd(world, sockets / 2);
-            List<Received> calls = calls(world, crowd.size());
-            assertTrue(calls.size() <= max && calls.size() > max / 2, calls.size() + " of " + max);
-            assertEquals(world.status("GET", "/-/ready"), 200);
-            for (Received call : calls) {
-                call.reply("200 OK", "done");
+            List<Client> clients = connectClients(harness, sockets / 2);
+            List<Received> reachedEndpoints = awaitRequests(harness, clients.size());
+            assertTrue(
+                    reachedEndpoints.size() <= max && reachedEndpoints.size() > max / 2,
+                    reachedEndpoints.size() + " of " + max);
+            assertEquals(harness.status("GET", "/-/ready"), 200);
+            for (Received received : reachedEndpoints) {
+                received.reply("200 OK", "done");
             }
             int served = 0;
-            for (Caller caller : crowd) {
-                try (caller) {
-                    String first = caller.read().first();
+            for (Client client : clients) {
+                try (client) {
+                    String first = client.read().first();
                     served += first.contains(" 200 ") ? 1 : 0;
                     assertTrue(first.contains(" 200 ") || first.contains(" 503 "), first);
                 }
             }
-            assertTrue(served >= calls.size(), served + " of " + calls.size());
+            assertTrue(
+                    served >= reachedEndpoints.size(), served + " of " + reachedEndpoints.size());
         }
     }
 
@@ -259,20 +267,21 @@
      * Collects the requests at endpoints until each of this many requests was rejected or has
      * reached an endpoint.
      */
-    private static List<Received> calls(World world, int requests) throws Exception {
-        List<Received> calls = new ArrayList<>();
+    private static List<Received> awaitRequests(ProxyHarness harness, int requests)
+            throws Exception {
+        List<Received> reachedEndpoints = new ArrayList<>();
         for (int i = 0; ; i++) {
-            assertTrue(i < 5_000, calls.size() + " requests at endpoints");
-            Received next = world.calls.poll(1, TimeUnit.MILLISECONDS);
+            assertTrue(i < 5_000, reachedEndpoints.size() + " requests at endpoints");
+            Received next = harness.requests.poll(1, TimeUnit.MILLISECONDS);
             if (next != null) {
-                calls.add(next);
+                reachedEndpoints.add(next);
                 continue;
             }
-            JsonObject figures = JsonObject.parse(world.operator("GET", "/-/metrics").body());
+            JsonObject figures = JsonObject.parse(harness.operator("GET", "/-/metrics").body());
             long refused = figures.child("operations").child("order").integer("throttled");
-            if (figures.integer("open_requests") == calls.size()
-                    && calls.size() + refused == requests) {
-                return calls;
+            if (figures.integer("open_requests") == reachedEndpoints.size()
+                    && reachedEndpoints.size() + refused == requests) {
+                return reachedEndpoints;
             }
         }
     }
@@ -280,21 +289,21 @@
     /** The fraction of descriptors for idle connections must not bound the attempts. */
     @Test
     public void theFractionOfDescriptorsForIdleConnectionsDoesNotBoundAttempts() throws Exception {
-        try (World world =
-                new World(40)
+        try (ProxyHarness harness =
+                new ProxyHarness(40)
                         .with("\"sockets\": 1024", "\"sockets\": 240")
                         .with(OperatorScenarioTest.operator("[nodes]\ndescriptors_share = 0.05\n"))
                         .withAdmin()
                         .start()) {
-            List<Caller> crowd = crowd(world, 30);
-            List<Received> calls = calls(world, crowd.size());
-            assertEquals(calls.size(), crowd.size(), "requests at endpoints at once");
-            for (Received call : calls) {
-                call.reply("200 OK", "done");
+            List<Client> clients = connectClients(harness, 30);
+            List<Received> reachedEndpoints = awaitRequests(harness, clients.size());
+            assertEquals(reachedEndpoints.size(), clients.size(), "requests at endpoints at once");
+            for (Received received : reachedEndpoints) {
+                received.reply("200 OK", "done");
             }
-            for (Caller caller : crowd) {
-                try (caller) {
-                    assertEquals(caller.read().body(), "done");
+            for (Client client : clients) {
+                try (client) {
+                    assertEquals(client.read().body(), "done");
                 }
             }
         }
@@ -306,16 +315,16 @@
      */
     @Test
     public void aConnectionAttemptEndsWithinTheTimeThatTheDrainRuleAllows() throws Exception {
-        try (World world =
-                        new World(1)
+        try (ProxyHarness harness =
+                        new ProxyHarness(1)
                                 .with(
                                         "\"dial-timeout-ns\": 120000000",
                                         "\"dial-timeout-ns\": 60000000000");
-                World.FullNode full = world.new FullNode(0)) {
-            world.start();
-            try (Caller caller = world.caller()) {
-                caller.send(World.request("order", "/api", "x"));
-                assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
+                ProxyHarness.FullNode full = harness.new FullNode(0)) {
+            harness.start();
+            try (Client client = harness.client()) {
+                client.send(ProxyHarness.request("order", "/api", "x"));
+                assertEquals(client.read().first(), "HTTP/1.1 503 Service Unavailable");
             }
             assertEquals(full.awaitConnections(0).size(), 0, "no connection was established");
         }
@@ -324,15 +333,15 @@
     /** An answer without a length that its endpoint breaks off must not look whole. */
     @Test
     public void anAnswerWithoutALengthThatIsResetIsVisiblyIncomplete() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("lookup", "/stays-for-test", ""));
-            Received call = world.call();
-            call.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(100_000));
-            assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
-            call.reset();
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("lookup", "/stays-for-test", ""));
+            Received received = harness.nextRequest();
+            received.raw("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(100_000));
+            assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
+            received.reset();
             assertFalse(
-                    caller.readAll().endsWith("0\r\n\r\n"), "the answer ends like a complete one");
+                    client.readAll().endsWith("0\r\n\r\n"), "the answer ends like a complete one");
         } catch (SocketException e) {
             // a reset shows that the answer is incomplete
         }
@@ -345,43 +354,44 @@
      */
     @Test
     public void anEndpointThatReadsNothingOfABodyIsGivenUp() throws Exception {
-        try (World world = new World(1).withAdmin().start();
-                Caller caller = world.caller()) {
-            caller.send(
-                    World.request("order", "/stays-for-test", "", "Transfer-Encoding: chunked")
+        try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request(
+                                    "order", "/stays-for-test", "", "Transfer-Encoding: chunked")
                             .replace("Content-Length: 0\r\n", ""));
             byte[] piece = ("10000\r\n" + "x".repeat(65536) + "\r\n").getBytes();
-            Nodes.daemon(
+            TestEndpoints.daemon(
                     () -> {
                         while (true) {
-                            caller.out().write(piece);
+                            client.out().write(piece);
                         }
                     });
-            world.call();
-            assertEquals(patiently(caller).first(), "HTTP/1.1 503 Service Unavailable");
-            awaitFigure(world, "held_bytes", 0);
+            harness.nextRequest();
+            assertEquals(patiently(client).first(), "HTTP/1.1 503 Service Unavailable");
+            awaitFigure(harness, "held_bytes", 0);
         }
     }
 
     /** Returns the client's next answer, which may take longer than other tests wait. */
-    private static Received patiently(Caller caller) throws IOException {
+    private static Received patiently(Client client) throws IOException {
         for (int i = 0; i < 2; i++) {
             try {
-                return caller.read();
+                return client.read();
             } catch (SocketTimeoutException e) {
                 // not yet
             }
         }
-        return caller.read();
+        return client.read();
     }
 
     /** A probe that is never answered must not keep its endpoint from being probed again. */
     @Test
     public void anUnansweredProbeIsGivenUpAndAnotherIsSent() throws Exception {
-        try (World world = new World(1).start()) {
-            world.probesWait = true;
-            Received first = World.await(world.probes);
-            Received second = World.await(world.probes);
+        try (ProxyHarness harness = new ProxyHarness(1).start()) {
+            harness.probesWait = true;
+            Received first = ProxyHarness.await(harness.probes);
+            Received second = ProxyHarness.await(harness.probes);
             assertTrue(
                     first.socket() != second.socket(), "the first one's connection was given up");
             first.awaitEnd();
--- a/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
@@ -77,25 +77,26 @@
         }
     }
 
-    private static void assertKept(Recovered kept, HardState promise, int... entries) {
-        assertNotNull(kept);
-        assertEquals(kept.hardState(), promise);
-        assertEquals(kept.snapshot().index(), 6);
-        assertEquals(kept.snapshot().state(), SNAPSHOT.state());
-        assertEquals(kept.snapshot().voters(), SNAPSHOT.voters());
+    private static void assertRecovered(Recovered recovered, HardState hardState, int... entries) {
+        assertNotNull(recovered);
+        assertEquals(recovered.hardState(), hardState);
+        assertEquals(recovered.snapshot().index(), 6);
+        assertEquals(recovered.snapshot().state(), SNAPSHOT.state());
+        assertEquals(recovered.snapshot().voters(), SNAPSHOT.voters());
         assertEquals(
-                kept.entries().stream().mapToInt(entry -> entry.bytes()[0]).toArray(), entries);
+                recovered.entries().stream().mapToInt(entry -> entry.bytes()[0]).toArray(),
+                entries);
     }
 
     @Test
     public void syncedStateIsRecovered() {
         write();
         try (FileStableStorage store = open()) {
-            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            assertRecovered(store.recovered(), LATER, 7, 8, 90, 10);
             store.append(11, entry(11)); // not synced
         }
         try (FileStableStorage store = open()) {
-            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            assertRecovered(store.recovered(), LATER, 7, 8, 90, 10);
         }
         assertEquals(log.toString(), "");
     }
@@ -107,7 +108,7 @@
         Golden.check("consensus-store.txt", Golden.hex(Files.readAllBytes(file)));
         Files.write(file, Golden.bytes(Golden.read("consensus-store.txt")));
         try (FileStableStorage store = open()) {
-            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            assertRecovered(store.recovered(), LATER, 7, 8, 90, 10);
         }
         assertEquals(log.toString(), "");
     }
@@ -127,19 +128,19 @@
                 if (store.recovered() == null) {
                     break; // cut within the first sync
                 }
-                assertKept(store.recovered(), FIRST, 7, 8, 9);
+                assertRecovered(store.recovered(), FIRST, 7, 8, 9);
                 second++;
                 store.writeHardState(LATER);
                 store.sync();
             }
             try (FileStableStorage store = open()) {
-                assertKept(store.recovered(), LATER, 7, 8, 9);
+                assertRecovered(store.recovered(), LATER, 7, 8, 9);
             }
         }
         assertTrue(second > 40, "only " + second);
         Files.write(file, Arrays.copyOf(whole, whole.length + 100)); // longer by 100 zero bytes
         try (FileStableStorage store = open()) {
-            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            assertRecovered(store.recovered(), LATER, 7, 8, 90, 10);
         }
     }
 
@@ -152,9 +153,9 @@
         byte[] whole = Files.readAllBytes(file);
         int last = whole.length;
         for (int at = 0; at < 80; at++) {
-            byte[] turned = whole.clone();
-            turned[at] ^= 16;
-            Files.write(file, turned);
+            byte[] corrupted = whole.clone();
+            corrupted[at] ^= 16;
+            Files.write(file, corrupted);
             log.reset();
             try (FileStableStorage store = open()) {
                 assertNull(store.recovered(), "byte " + at + " of " + last);
@@ -167,7 +168,7 @@
                 store.writeHardState(LATER);
                 store.sync();
             }
-            assertEquals(Files.readAllBytes(folder.resolve("agreement.refused")), turned);
+            assertEquals(Files.readAllBytes(folder.resolve("agreement.refused")), corrupted);
             try (FileStableStorage store = open()) {
                 assertEquals(store.recovered().hardState(), LATER);
             }
@@ -204,31 +205,31 @@
     @Test
     public void theMedianSyncTakesLessThanASecond() {
         int syncs = Integer.getInteger("store.syncs", 20);
-        long[] took = new long[syncs];
+        long[] durations = new long[syncs];
         try (FileStableStorage store = open()) {
             for (int i = 0; i < syncs; i++) {
                 store.writeHardState(i % 2 == 0 ? FIRST : LATER);
                 store.append(i + 1, new LogEntry(4, Kind.CONTENT, new byte[500]));
                 long begun = System.nanoTime();
                 store.sync();
-                took[i] = System.nanoTime() - begun;
+                durations[i] = System.nanoTime() - begun;
             }
         }
-        Arrays.sort(took);
+        Arrays.sort(durations);
         Reporter.log(
                 "syncs "
                         + syncs
                         + ", p50 "
-                        + took[syncs / 2] / 1_000
+                        + durations[syncs / 2] / 1_000
                         + " us, p99 "
-                        + took[syncs * 99 / 100] / 1_000
+                        + durations[syncs * 99 / 100] / 1_000
                         + " us, max "
-                        + took[syncs - 1] / 1_000
+                        + durations[syncs - 1] / 1_000
                         + " us",
                 true);
         assertTrue(
-                took[syncs / 2] < 1_000_000_000L,
-                "the median sync takes " + took[syncs / 2] + " ns");
+                durations[syncs / 2] < 1_000_000_000L,
+                "the median sync takes " + durations[syncs / 2] + " ns");
     }
 
     /** The file must not grow for as long as the replica runs. */
--- a/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
@@ -4,9 +4,9 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.FullNode;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.FullNode;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.io.IOException;
 import java.net.Socket;
@@ -26,8 +26,8 @@
     private static final String REFUSED = "HTTP/1.1 503 Service Unavailable";
 
     /** Creates a proxy that waits up to 10 s for a connection, and opens none for probes. */
-    private static World world(int nodes) throws IOException {
-        return new World(nodes)
+    private static ProxyHarness harness(int nodes) throws IOException {
+        return new ProxyHarness(nodes)
                 .with("\"dial-timeout-ns\": 120000000", "\"dial-timeout-ns\": 60000000000")
                 .with(
                         "\"stop-sending-within-ns\": 2000000000",
@@ -37,28 +37,30 @@
     }
 
     private static String request(String kind, String id) {
-        return World.request(kind, "/api", kind.equals("lookup") ? "" : "x").replace("id-1", id);
+        return ProxyHarness.request(kind, "/api", kind.equals("lookup") ? "" : "x")
+                .replace("id-1", id);
     }
 
-    private static JsonObject figures(World world) throws IOException {
-        return JsonObject.parse(world.operator("GET", "/-/metrics").body());
+    private static JsonObject figures(ProxyHarness harness) throws IOException {
+        return JsonObject.parse(harness.operator("GET", "/-/metrics").body());
     }
 
-    private static void awaitOpen(World world, int requests) throws Exception {
-        Await.until(requests + " open", () -> figures(world).integer("open_requests") == requests);
+    private static void awaitOpen(ProxyHarness harness, int requests) throws Exception {
+        Await.until(
+                requests + " open", () -> figures(harness).integer("open_requests") == requests);
     }
 
-    private static long left(World world, String kind) throws IOException {
-        return figures(world).child("operations").child(kind).integer("left");
+    private static long left(ProxyHarness harness, String kind) throws IOException {
+        return figures(harness).child("operations").child(kind).integer("left");
     }
 
     /** Answers the next request at an endpoint, which must have this id. */
-    private static Received serve(World world, Caller caller, String id) throws Exception {
-        Received call = world.call();
-        assertEquals(call.field("Req-Id"), id);
-        call.reply("200 OK", id);
-        assertEquals(caller.read().body(), id);
-        return call;
+    private static Received serve(ProxyHarness harness, Client client, String id) throws Exception {
+        Received request = harness.nextRequest();
+        assertEquals(request.field("Req-Id"), id);
+        request.reply("200 OK", id);
+        assertEquals(client.read().body(), id);
+        return request;
     }
 
     @DataProvider
@@ -76,20 +78,20 @@
     @Test(dataProvider = "mayCancel")
     public void aLateConnectionIsNotUsedForAClientThatDisconnected(boolean cancel)
             throws Exception {
-        try (World world = world(1).with("\"cancel\": true", "\"cancel\": " + cancel);
-                FullNode full = world.new FullNode(0)) {
-            world.start();
-            try (Caller leaves = world.caller()) {
+        try (ProxyHarness harness = harness(1).with("\"cancel\": true", "\"cancel\": " + cancel);
+                FullNode full = harness.new FullNode(0)) {
+            harness.start();
+            try (Client leaves = harness.client()) {
                 leaves.send(request("order", "leaves"));
-                awaitOpen(world, 1);
+                awaitOpen(harness, 1);
             }
-            awaitOpen(world, 0);
+            awaitOpen(harness, 0);
             full.open();
             Socket late = full.awaitConnections(1).get(0);
-            try (Caller caller = world.caller()) {
-                caller.send(request("order", "stays"));
+            try (Client client = harness.client()) {
+                client.send(request("order", "stays"));
                 assertEquals(
-                        serve(world, caller, "stays").socket(),
+                        serve(harness, client, "stays").socket(),
                         late,
                         "the connection serves another request");
             }
@@ -99,33 +101,34 @@
     @Test(dataProvider = "mayCancel")
     public void noRequestOfManyDisconnectedClientsIsSent(boolean cancel) throws Exception {
         int many = 4;
-        try (World world = world(many).with("\"cancel\": true", "\"cancel\": " + cancel)) {
+        try (ProxyHarness harness =
+                harness(many).with("\"cancel\": true", "\"cancel\": " + cancel)) {
             List<FullNode> full = new ArrayList<>();
             for (int i = 0; i < many; i++) {
-                full.add(world.new FullNode(i));
+                full.add(harness.new FullNode(i));
             }
-            world.start();
-            List<Caller> crowd = new ArrayList<>();
+            harness.start();
+            List<Client> crowd = new ArrayList<>();
             for (int i = 0; i < 2 * many; i++) {
-                crowd.add(world.caller().send(request("order", "leaves-" + i)));
+                crowd.add(harness.client().send(request("order", "leaves-" + i)));
             }
-            awaitOpen(world, 2 * many);
-            for (Caller caller : crowd) {
-                caller.close();
+            awaitOpen(harness, 2 * many);
+            for (Client client : crowd) {
+                client.close();
             }
-            awaitOpen(world, 0);
-            assertEquals(left(world, "order"), 2 * many);
+            awaitOpen(harness, 0);
+            assertEquals(left(harness, "order"), 2 * many);
             for (FullNode node : full) {
                 node.open();
             }
             Await.until("late connections", () -> connections(full) >= 2 * many);
-            try (Caller caller = world.caller()) {
+            try (Client client = harness.client()) {
                 for (int i = 0; i < 3; i++) {
-                    caller.send(request("order", "stays-" + i));
-                    serve(world, caller, "stays-" + i);
+                    client.send(request("order", "stays-" + i));
+                    serve(harness, client, "stays-" + i);
                 }
             }
-            assertTrue(world.calls.isEmpty());
+            assertTrue(harness.requests.isEmpty());
             for (FullNode node : full) {
                 node.close();
             }
@@ -136,9 +139,9 @@
      * Returns a request followed by more bytes than are read ahead: by further requests, or by the
      * rest of its own body.
      */
-    private static String muchAtOnce(String id, boolean flows) {
+    private static String requestWithMuchBehind(String id, boolean flows) {
         String chunked =
-                World.request("order", "/api", "", "Transfer-Encoding: chunked")
+                ProxyHarness.request("order", "/api", "", "Transfer-Encoding: chunked")
                         .replace("Content-Length: 0\r\n", "")
                         .replace("id-1", id);
         return flows
@@ -146,14 +149,14 @@
                 : request("order", id) + request("lookup", id + "-next").repeat(1_500);
     }
 
-    private static void awaitUnseen(long from) throws Exception {
+    private static void awaitAttemptTooLate(long from) throws Exception {
         Await.until(
                 "a longer time than an attempt may be late",
                 () -> System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(100));
     }
 
     @DataProvider
-    public Object[][] endsBehindMuch() {
+    public Object[][] disconnectsBehindMuch() {
         return new Object[][] {{false, false}, {false, true}, {true, false}, {true, true}};
     }
 
@@ -161,27 +164,27 @@
      * No attempt may begin for a client whose disconnect can't be read because more bytes precede
      * it than the proxy buffers.
      */
-    @Test(dataProvider = "endsBehindMuch")
+    @Test(dataProvider = "disconnectsBehindMuch")
     public void noAttemptBeginsForAClientWhoseDisconnectCouldNotBeRead(boolean flows, boolean reset)
             throws Exception {
-        try (World world = world(1);
-                FullNode full = world.new FullNode(0)) {
-            world.start();
-            Caller leaves = world.caller().send(muchAtOnce("leaves", flows));
-            awaitOpen(world, 1);
+        try (ProxyHarness harness = harness(1);
+                FullNode full = harness.new FullNode(0)) {
+            harness.start();
+            Client leaves = harness.client().send(requestWithMuchBehind("leaves", flows));
+            awaitOpen(harness, 1);
             if (reset) {
-                leaves.resets();
+                leaves.resetOnClose();
             }
             leaves.close();
-            awaitUnseen(System.nanoTime());
+            awaitAttemptTooLate(System.nanoTime());
             full.open();
             full.awaitConnections(1);
-            awaitOpen(world, 0);
-            try (Caller caller = world.caller()) {
-                caller.send(request("order", "stays"));
-                serve(world, caller, "stays"); // the first request that reaches the endpoint
+            awaitOpen(harness, 0);
+            try (Client client = harness.client()) {
+                client.send(request("order", "stays"));
+                serve(harness, client, "stays"); // the first request that reaches the endpoint
             }
-            assertTrue(world.calls.isEmpty());
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
@@ -192,22 +195,22 @@
     @Test
     public void aConnectedClientThatSentMuchAheadIsRejectedOnceAndThenServed() throws Exception {
         int behind = 2_000;
-        try (World world = world(1);
-                FullNode full = world.new FullNode(0)) {
-            world.start();
-            try (Caller caller = world.caller()) {
-                caller.send(
+        try (ProxyHarness harness = harness(1);
+                FullNode full = harness.new FullNode(0)) {
+            harness.start();
+            try (Client client = harness.client()) {
+                client.send(
                         request("order", "first")
                                 + "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".repeat(behind));
-                awaitOpen(world, 1);
-                awaitUnseen(System.nanoTime());
+                awaitOpen(harness, 1);
+                awaitAttemptTooLate(System.nanoTime());
                 full.open();
-                assertEquals(caller.read().first(), REFUSED);
+                assertEquals(client.read().first(), REFUSED);
                 for (int i = 0; i < behind; i++) {
-                    assertEquals(caller.read().first(), "HTTP/1.1 200 OK", "answer " + i);
+                    assertEquals(client.read().first(), "HTTP/1.1 200 OK", "answer " + i);
                 }
-                caller.send(request("order", "last"));
-                serve(world, caller, "last");
+                client.send(request("order", "last"));
+                serve(harness, client, "last");
             }
         }
     }
@@ -226,48 +229,49 @@
      */
     @Test(dataProvider = "mayCancel")
     public void noRetryFollowsAfterTheClientDisconnected(boolean cancel) throws Exception {
-        try (World world = world(2).with("\"cancel\": true", "\"cancel\": " + cancel).start()) {
+        try (ProxyHarness harness =
+                harness(2).with("\"cancel\": true", "\"cancel\": " + cancel).start()) {
             Received first;
-            try (Caller leaves = world.caller()) {
+            try (Client leaves = harness.client()) {
                 leaves.send(request("lookup", "leaves"));
-                first = world.call();
+                first = harness.nextRequest();
             }
-            awaitOpen(world, 0);
+            awaitOpen(harness, 0);
             if (!cancel) {
                 first.reply("500 Internal Server Error", "");
             }
-            try (Caller caller = world.caller()) {
+            try (Client client = harness.client()) {
                 for (int i = 0; i < 3; i++) {
-                    caller.send(request("order", "stays-" + i));
-                    serve(world, caller, "stays-" + i);
+                    client.send(request("order", "stays-" + i));
+                    serve(harness, client, "stays-" + i);
                 }
             }
-            assertTrue(world.calls.isEmpty());
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
     /** A queued request must not be sent to an endpoint after its client has disconnected. */
     @Test(dataProvider = "mayCancel")
     public void aQueuedRequestIsNotSentAfterItsClientDisconnected(boolean cancel) throws Exception {
-        try (World world = world(1).with("\"cancel\": true", "\"cancel\": " + cancel)) {
-            world.start();
-            Discovery discovery = new Discovery(world);
-            discovery.tell(list(7, world.entries("terminating")));
+        try (ProxyHarness harness = harness(1).with("\"cancel\": true", "\"cancel\": " + cancel)) {
+            harness.start();
+            Discovery discovery = new Discovery(harness);
+            discovery.publish(list(7, harness.entries("terminating")));
             Await.until(
-                    "a draining endpoint", () -> figures(world).integer("out_of_rotation") == 1);
-            try (Caller leaves = world.caller()) {
+                    "a draining endpoint", () -> figures(harness).integer("out_of_rotation") == 1);
+            try (Client leaves = harness.client()) {
                 leaves.send(request("order", "leaves"));
-                awaitOpen(world, 1);
+                awaitOpen(harness, 1);
             }
-            awaitOpen(world, 0);
-            assertEquals(left(world, "order"), 1);
-            discovery.tell(list(8, world.entries("in_service")));
-            Await.until("an endpoint", () -> figures(world).integer("out_of_rotation") == 0);
-            try (Caller caller = world.caller()) {
-                caller.send(request("order", "stays"));
-                serve(world, caller, "stays");
+            awaitOpen(harness, 0);
+            assertEquals(left(harness, "order"), 1);
+            discovery.publish(list(8, harness.entries("in_service")));
+            Await.until("an endpoint", () -> figures(harness).integer("out_of_rotation") == 0);
+            try (Client client = harness.client()) {
+                client.send(request("order", "stays"));
+                serve(harness, client, "stays");
             }
-            assertTrue(world.calls.isEmpty());
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
@@ -279,22 +283,22 @@
         private final List<Received> watches = new ArrayList<>();
         private String list = "";
 
-        Discovery(World world) {
-            Nodes.daemon(
+        Discovery(ProxyHarness harness) {
+            TestEndpoints.daemon(
                     () -> {
                         while (true) {
-                            add(world.lookups.take());
+                            add(harness.lookups.take());
                         }
                     });
         }
 
         private synchronized void add(Received watch) {
             watches.add(watch);
-            write(watch, World.STREAM);
+            write(watch, ProxyHarness.STREAM);
             write(watch, list);
         }
 
-        synchronized void tell(String next) {
+        synchronized void publish(String next) {
             list = Integer.toHexString(next.length()) + "\r\n" + next + "\r\n";
             watches.forEach(watch -> write(watch, list));
         }
@@ -325,33 +329,34 @@
      */
     @Test(dataProvider = "waysToLeave")
     public void aLateConnectionToADrainingOrRemovedEndpointIsNotUsed(String how) throws Exception {
-        try (World world = world(2)) {
-            String[] entries = world.entries("in_service").split("(?<=\\}),");
-            FullNode full = world.new FullNode(0);
-            world.with("\"servers\": []", "\"servers\": [" + entries[0] + "]").start();
-            Discovery discovery = new Discovery(world);
-            try (Caller late = world.caller();
-                    Caller caller = world.caller()) {
+        try (ProxyHarness harness = harness(2)) {
+            String[] entries = harness.entries("in_service").split("(?<=\\}),");
+            FullNode full = harness.new FullNode(0);
+            harness.with("\"servers\": []", "\"servers\": [" + entries[0] + "]").start();
+            Discovery discovery = new Discovery(harness);
+            try (Client late = harness.client();
+                    Client client = harness.client()) {
                 late.send(request("order", "late"));
-                awaitOpen(world, 1);
-                discovery.tell(
+                awaitOpen(harness, 1);
+                discovery.publish(
                         list(
                                 7,
                                 (how.equals("omitted")
                                                 ? ""
                                                 : entries[0].replace("in_service", how) + ",")
                                         + entries[1]));
-                Received call = world.call();
-                assertEquals(call.field("Req-Id"), "late");
+                Received request = harness.nextRequest();
+                assertEquals(request.field("Req-Id"), "late");
                 assertEquals(
-                        call.socket().getLocalPort(), world.nodes.get(1).server.getLocalPort());
-                call.reply("200 OK", "elsewhere");
+                        request.socket().getLocalPort(),
+                        harness.nodes.get(1).server.getLocalPort());
+                request.reply("200 OK", "elsewhere");
                 assertEquals(late.read().body(), "elsewhere");
                 full.open();
                 full.awaitConnections(1);
-                caller.send(request("order", "next"));
-                serve(world, caller, "next");
-                assertTrue(world.calls.isEmpty());
+                client.send(request("order", "next"));
+                serve(harness, client, "next");
+                assertTrue(harness.requests.isEmpty());
             }
             full.close();
         }
@@ -372,32 +377,32 @@
      */
     @Test(dataProvider = "startsOfANode")
     public void aConnectionFromBeforeItsEndpointsStartIsNotUsed(boolean before) throws Exception {
-        try (World world =
-                world(1).with("\"ramp-time-ns\": 10000000000", "\"ramp-time-ns\": 1").start()) {
-            Discovery discovery = new Discovery(world);
-            try (Caller hangs = world.caller();
-                    Caller caller = world.caller()) {
+        try (ProxyHarness harness =
+                harness(1).with("\"ramp-time-ns\": 10000000000", "\"ramp-time-ns\": 1").start()) {
+            Discovery discovery = new Discovery(harness);
+            try (Client hangs = harness.client();
+                    Client client = harness.client()) {
                 long earlier = System.currentTimeMillis() - 1_000;
                 hangs.send(request("order", "hangs"));
-                world.call();
-                caller.send(request("order", "first"));
-                Socket first = serve(world, caller, "first").socket();
+                harness.nextRequest();
+                client.send(request("order", "first"));
+                Socket first = serve(harness, client, "first").socket();
                 long served = System.currentTimeMillis();
                 Await.until("a later millisecond", () -> System.currentTimeMillis() > served + 1);
                 long started = before ? System.currentTimeMillis() : earlier;
-                discovery.tell(
+                discovery.publish(
                         list(
                                 7,
-                                world.entries("in_service")
+                                harness.entries("in_service")
                                                 .replace(
                                                         "\"started_ms\":0",
                                                         "\"started_ms\":" + started)
                                         + ",{\"id\":\"told\",\"addr\":\"127.0.0.1:9\","
                                         + "\"state\":\"terminating\"}"));
-                Await.until("the list", () -> figures(world).integer("out_of_rotation") == 1);
-                caller.send(request("order", "second"));
+                Await.until("the list", () -> figures(harness).integer("out_of_rotation") == 1);
+                client.send(request("order", "second"));
                 assertEquals(
-                        serve(world, caller, "second").socket() != first,
+                        serve(harness, client, "second").socket() != first,
                         before,
                         "another connection");
             }
@@ -410,16 +415,17 @@
      */
     @Test
     public void aConnectionThatWasIdleForTooLongIsNotUsed() throws Exception {
-        try (World world =
-                        world(1).with(
+        try (ProxyHarness harness =
+                        harness(1)
+                                .with(
                                         "\"conn-idle-ns\": 30000000000",
                                         "\"conn-idle-ns\": 100000000")
                                 .start();
-                Caller caller = world.caller()) {
+                Client client = harness.client()) {
             Socket last = null;
             for (int i = 0; i < 5; i++) {
-                caller.send(request("order", "rpc-" + i));
-                Socket next = serve(world, caller, "rpc-" + i).socket();
+                client.send(request("order", "rpc-" + i));
+                Socket next = serve(harness, client, "rpc-" + i).socket();
                 assertTrue(
                         next != last,
                         "rpc-" + i + " was sent on a connection that was idle for too long");
@@ -439,16 +445,16 @@
      */
     @Test
     public void aRequestWithoutAConnectionByItsDeadlineIsRejected() throws Exception {
-        try (World world = world(1);
-                FullNode full = world.new FullNode(0)) {
-            world.start();
-            try (Caller caller = world.caller()) {
-                caller.send(
+        try (ProxyHarness harness = harness(1);
+                FullNode full = harness.new FullNode(0)) {
+            harness.start();
+            try (Client client = harness.client()) {
+                client.send(
                         request("order", "short")
                                 .replace("Deadline-Ms: 30000", "Deadline-Ms: 400"));
-                assertEquals(caller.read().first(), REFUSED);
+                assertEquals(client.read().first(), REFUSED);
             }
-            assertEquals(figures(world).integer("relayed"), 0);
+            assertEquals(figures(harness).integer("relayed"), 0);
             assertEquals(full.awaitConnections(0).size(), 0, "no connection was established");
         }
     }
@@ -456,34 +462,35 @@
     /** A retry must not begin once endpoints have forgotten what ran before. */
     @Test
     public void aRetryWhoseConnectionIsEstablishedAfterTheRepeatWindowIsNotSent() throws Exception {
-        try (World world =
-                world(2).with(
+        try (ProxyHarness harness =
+                harness(2)
+                        .with(
                                 "\"repeat-window-ns\": 5000000000",
                                 "\"repeat-window-ns\": 300000000")) {
-            String[] entries = world.entries("in_service").split("(?<=\\}),");
-            FullNode full = world.new FullNode(1);
-            world.with("\"servers\": []", "\"servers\": [" + entries[0] + "]").start();
-            Discovery discovery = new Discovery(world);
-            try (Caller caller = world.caller()) {
-                caller.send(
+            String[] entries = harness.entries("in_service").split("(?<=\\}),");
+            FullNode full = harness.new FullNode(1);
+            harness.with("\"servers\": []", "\"servers\": [" + entries[0] + "]").start();
+            Discovery discovery = new Discovery(harness);
+            try (Client client = harness.client()) {
+                client.send(
                         request("booking", "keyed")
                                 .replace("Req-Id", "Idempotency-Key: k\r\nReq-Id"));
-                Received first = world.call();
+                Received first = harness.nextRequest();
                 long sentBy = System.nanoTime();
-                discovery.tell(
+                discovery.publish(
                         list(
                                 7,
                                 entries[0].replace("in_service", "terminating")
                                         + ","
                                         + entries[1]));
-                Await.until("the list", () -> figures(world).integer("out_of_rotation") == 1);
+                Await.until("the list", () -> figures(harness).integer("out_of_rotation") == 1);
                 first.reply("500 Internal Server Error", "");
                 Await.until(
                         "the window is over",
                         () -> System.nanoTime() - sentBy > TimeUnit.MILLISECONDS.toNanos(300));
                 full.open();
-                assertEquals(caller.read().first(), REFUSED);
-                assertTrue(world.calls.isEmpty());
+                assertEquals(client.read().first(), REFUSED);
+                assertTrue(harness.requests.isEmpty());
             }
             full.close();
         }
@@ -494,26 +501,28 @@
     public void anEndpointReceivesTheTimeRemainingOnceItsConnectionIsEstablished()
             throws Exception {
         for (boolean flows : new boolean[] {false, true}) {
-            try (World world = world(1);
-                    FullNode full = world.new FullNode(0)) {
-                world.start();
-                try (Caller caller = world.caller()) {
+            try (ProxyHarness harness = harness(1);
+                    FullNode full = harness.new FullNode(0)) {
+                harness.start();
+                try (Client client = harness.client()) {
                     String chunked =
-                            World.request("order", "/api", "", "Transfer-Encoding: chunked")
+                            ProxyHarness.request("order", "/api", "", "Transfer-Encoding: chunked")
                                     .replace("Content-Length: 0\r\n", "");
-                    caller.send(
+                    client.send(
                             !flows
                                     ? request("order", "id-1")
                                     : chunked + "13880\r\n" + "x".repeat(80_000) + "\r\n0\r\n\r\n");
                     long sentBy = System.nanoTime();
-                    awaitOpen(world, 1);
+                    awaitOpen(harness, 1);
                     Await.until(
                             "a part of the request's time",
                             () -> System.nanoTime() - sentBy > TimeUnit.MILLISECONDS.toNanos(300));
                     full.open();
-                    int told = Integer.parseInt(world.call().field("Req-Deadline-Ms"));
+                    int remainingMillis =
+                            Integer.parseInt(harness.nextRequest().field("Req-Deadline-Ms"));
                     assertTrue(
-                            told <= 30_000 - 300 && told > 15_000, told + " ms, flows: " + flows);
+                            remainingMillis <= 30_000 - 300 && remainingMillis > 15_000,
+                            remainingMillis + " ms, flows: " + flows);
                 }
             }
         }
@@ -526,7 +535,7 @@
      */
     @Test
     public void aResetIsNotTheEndOfAnAnswer() throws Exception {
-        try (World world = world(1).start()) {
+        try (ProxyHarness harness = harness(1).start()) {
             for (String answer :
                     List.of(
                             "",
@@ -534,12 +543,12 @@
                             "HTTP/1.1 200 OK\r\n\r\n",
                             "HTTP/1.1 200 OK\r\n\r\nhalf",
                             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")) {
-                try (Caller caller = world.caller()) {
-                    caller.send(World.request("order", "/stays-for-test", "x"));
-                    Received call = world.call();
-                    call.raw(answer);
-                    call.reset();
-                    assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway", answer);
+                try (Client client = harness.client()) {
+                    client.send(ProxyHarness.request("order", "/stays-for-test", "x"));
+                    Received request = harness.nextRequest();
+                    request.raw(answer);
+                    request.reset();
+                    assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway", answer);
                 }
             }
         }
@@ -548,16 +557,16 @@
     /** A second answer to the same request must not be used for the next request. */
     @Test
     public void aLateSecondAnswerIsDiscarded() throws Exception {
-        try (World world = world(1).start();
-                Caller caller = world.caller()) {
-            caller.send(request("order", "first"));
-            Received first = serve(world, caller, "first");
+        try (ProxyHarness harness = harness(1).start();
+                Client client = harness.client()) {
+            client.send(request("order", "first"));
+            Received first = serve(harness, client, "first");
             first.reply("200 OK", "first again");
             Await.until(
                     "the end of the endpoint's connection",
-                    () -> world.ended.contains(first.socket()));
-            caller.send(request("order", "second"));
-            Received second = serve(world, caller, "second");
+                    () -> harness.ended.contains(first.socket()));
+            client.send(request("order", "second"));
+            Received second = serve(harness, client, "second");
             assertTrue(second.socket() != first.socket(), "a new connection");
         }
     }
@@ -565,11 +574,11 @@
     /** A request must not use a connection that its endpoint reset while it was idle. */
     @Test
     public void aConnectionThatWasResetWhileIdleIsNotUsed() throws Exception {
-        try (World world = world(1).start();
-                Caller caller = world.caller()) {
+        try (ProxyHarness harness = harness(1).start();
+                Client client = harness.client()) {
             for (int i = 0; i < 5; i++) {
-                caller.send(request("order", "rpc-" + i).replace("/api", "/stays-for-test"));
-                serve(world, caller, "rpc-" + i)
+                client.send(request("order", "rpc-" + i).replace("/api", "/stays-for-test"));
+                serve(harness, client, "rpc-" + i)
                         .reset(); // no other thread uses the socket: the reset is sent at once
             }
         }
@@ -578,29 +587,29 @@
     /** Memory and time must be bounded for answers that never begin. */
     @Test
     public void endlessInterimAnswersAreAFailure() throws Exception {
-        try (World world = world(1).start();
-                Caller caller = world.caller()) {
-            caller.send(request("order", "interim"));
-            Received call = world.call();
-            call.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(17));
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
+        try (ProxyHarness harness = harness(1).start();
+                Client client = harness.client()) {
+            client.send(request("order", "interim"));
+            Received request = harness.nextRequest();
+            request.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(17));
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
             Await.until(
                     "the end of the endpoint's connection",
-                    () -> world.ended.contains(call.socket()));
-            caller.send(request("order", "next"));
-            serve(world, caller, "next");
+                    () -> harness.ended.contains(request.socket()));
+            client.send(request("order", "next"));
+            serve(harness, client, "next");
         }
     }
 
     @Test
     public void anOrderlyCloseIsTheEndOfAnAnswerWithoutALength() throws Exception {
-        try (World world = world(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/stays-for-test", "x"));
-            Received call = world.call();
-            call.raw("HTTP/1.1 200 OK\r\n\r\nall of it");
-            call.socket().close();
-            assertEquals(caller.read().body(), "all of it");
+        try (ProxyHarness harness = harness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/stays-for-test", "x"));
+            Received request = harness.nextRequest();
+            request.raw("HTTP/1.1 200 OK\r\n\r\nall of it");
+            request.socket().close();
+            assertEquals(client.read().body(), "all of it");
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/FootprintIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintIT.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -28,9 +28,9 @@
     private static final List<String> MACHINE = List.of("-XX:+UseSerialGC", "-Xms32m", "-Xmx56m");
 
     /** Returns a list whose endpoints all have the address of the first one, which answers. */
-    private static String list(World world) {
-        String one = world.entries("in_service").split(",\\{")[0];
-        String other = "{" + world.entries("terminating").split(",\\{")[1];
+    private static String list(ProxyHarness harness) {
+        String one = harness.entries("in_service").split(",\\{")[0];
+        String other = "{" + harness.entries("terminating").split(",\\{")[1];
         StringBuilder text =
                 new StringBuilder("{\"version\":3,\"full\":true,\"servers\":[").append(one);
         for (int i = 0; i < NODES; i++) {
@@ -39,22 +39,23 @@
         return text.append(',').append(other).append("]}\n").toString();
     }
 
-    private static Received serve(World world, String id) throws Exception {
-        try (Caller caller = world.caller()) {
-            return caller.send(World.request("order", "/api", "x").replace("id-1", id)).read();
+    private static Received serve(ProxyHarness harness, String id) throws Exception {
+        try (Client client = harness.client()) {
+            return client.send(ProxyHarness.request("order", "/api", "x").replace("id-1", id))
+                    .read();
         }
     }
 
     /** Sends the list on each watch, and in answer to each request for it. */
-    private static void serveList(World world) {
-        String list = list(world);
+    private static void serveList(ProxyHarness harness) {
+        String list = list(harness);
         assertTrue(list.length() < 4 * 1024 * 1024, "length " + list.length());
-        Nodes.daemon(
+        TestEndpoints.daemon(
                 () -> {
                     while (true) {
-                        Received lookup = world.lookups.take();
+                        Received lookup = harness.lookups.take();
                         if (lookup.first().contains("follow")) {
-                            lookup.raw(World.STREAM);
+                            lookup.raw(ProxyHarness.STREAM);
                             lookup.chunk(list);
                         } else {
                             lookup.reply("200 OK", list);
@@ -68,24 +69,24 @@
     public void aTooLargeListIsAppliedAsFarAsItFitsAndClientsAreServed() throws Exception {
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, "[footprint]\nask_again_ms = 1000\n");
-        try (World world = new World(3);
+        try (ProxyHarness harness = new ProxyHarness(3);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 Files.createTempDirectory("fit"),
                                 "",
                                 MACHINE,
                                 List.of("--operator", operator.toString()))) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
-            serveList(world);
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
+            serveList(harness);
             // The list is received once, and then twice more since endpoints are waiting.
             for (int i = 0; i < 3; i++) {
                 proxy.awaitLine("footprint.exceeded bound=heap_at_");
             }
             for (int i = 0; i < 200; i++) {
-                assertEquals(serve(world, "id-" + i).body(), "done");
+                assertEquals(serve(harness, "id-" + i).body(), "done");
             }
-            JsonObject page = JsonObject.parse(proxy.call("GET", "/-/metrics").body());
+            JsonObject page = JsonObject.parse(proxy.request("GET", "/-/metrics").body());
             JsonObject verdict = page.child("footprint");
             System.out.println(
                     "loaded "
@@ -103,8 +104,8 @@
             assertEquals(
                     page.integer("out_of_rotation"), 1, "the draining endpoint"); // n2 was removed
             proxy.signal("TERM");
-            String said = proxy.rest();
-            assertFalse(said.contains("OutOfMemory"), said);
+            String output = proxy.rest();
+            assertFalse(output.contains("OutOfMemory"), output);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
@@ -117,8 +118,8 @@
     public void aTooLargeListInTheConfigurationIsLoadedAsFarAsItFits() throws Exception {
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, "[footprint]\n");
-        try (World world = new World(2)) {
-            String list = list(world);
+        try (ProxyHarness harness = new ProxyHarness(2)) {
+            String list = list(harness);
             int nodes = 20_000;
             String entries = list.substring(list.indexOf('[') + 1);
             for (int i = 0, at = 0; ; i++, at++) {
@@ -128,12 +129,12 @@
                     break;
                 }
             }
-            world.with("\"servers\": []", "\"servers\": [" + entries + "]")
+            harness.with("\"servers\": []", "\"servers\": [" + entries + "]")
                     .with("\"version\": 0", "\"version\": 5");
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             try (ProxyUnderTest proxy =
                     new ProxyUnderTest(
-                            world,
+                            harness,
                             Files.createTempDirectory("fit"),
                             "",
                             MACHINE,
@@ -141,14 +142,14 @@
                 proxy.awaitLine("footprint.exceeded bound=heap_at_");
                 proxy.awaitLine("proxy.started");
                 for (int i = 0; i < 50; i++) {
-                    assertEquals(serve(world, "id-" + i).body(), "done");
+                    assertEquals(serve(harness, "id-" + i).body(), "done");
                 }
-                JsonObject page = JsonObject.parse(proxy.call("GET", "/-/metrics").body());
+                JsonObject page = JsonObject.parse(proxy.request("GET", "/-/metrics").body());
                 long held = page.integer("registry_entries");
                 assertTrue(held > 2_000 && held < nodes, "loaded " + held);
                 assertEquals(page.child("footprint").integer("waits"), nodes - held);
                 assertTrue(
-                        World.await(world.lookups).first().contains("since=0"),
+                        ProxyHarness.await(harness.lookups).first().contains("since=0"),
                         "the waiting endpoints are requested");
             }
         }
@@ -157,12 +158,16 @@
     /** Shows that the process of the first test could not have loaded the whole list. */
     @Test
     public void withoutTheFootprintTableTheSameListExhaustsTheHeap() throws Exception {
-        try (World world = new World(3);
+        try (ProxyHarness harness = new ProxyHarness(3);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world, Files.createTempDirectory("fit"), "", MACHINE, List.of())) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
-            serveList(world);
+                                harness,
+                                Files.createTempDirectory("fit"),
+                                "",
+                                MACHINE,
+                                List.of())) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
+            serveList(harness);
             Await.line(
                     "OutOfMemoryError",
                     proxy.process,
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -62,27 +62,27 @@
             for (int zones : new int[] {1, 12}) {
                 for (int tenants : new int[] {1, 20}) {
                     SiteSettings site = RetainedEndpointList.site(zones, tenants);
-                    RetainedEndpointList held = new RetainedEndpointList(site);
-                    long none = RetainedEndpointList.graph(held.roots()).totalSize();
+                    RetainedEndpointList retained = new RetainedEndpointList(site);
+                    long none = RetainedEndpointList.graph(retained.roots()).totalSize();
                     String text = RetainedEndpointList.list(0, nodes, zones);
-                    held.load(text);
+                    retained.load(text);
                     EndpointListShape list = shape(text, nodes);
                     String name = nodes + " nodes, " + zones + " zones, " + tenants + " tenants";
-                    List<Object> kept = new ArrayList<>(held.roots());
-                    kept.add(held.parsed.get(0)); // the buffer, which a watch retains
+                    List<Object> kept = new ArrayList<>(retained.roots());
+                    kept.add(retained.parsed.get(0)); // the buffer, which a watch retains
                     long rest = RetainedEndpointList.graph(kept).totalSize() - none;
                     wrong.append(compare(name + ", at rest", footprint.atRest(list), rest));
-                    List<Object> all = new ArrayList<>(held.roots());
-                    all.addAll(held.parsed);
+                    List<Object> all = new ArrayList<>(retained.roots());
+                    all.addAll(retained.parsed);
                     long peak = RetainedEndpointList.graph(all).totalSize() - none;
                     wrong.append(
                             compare(
                                     name + ", at the peak",
                                     footprint.atPeak(EndpointListShape.NONE, list, nodes, nodes),
                                     peak));
-                    held.load(text);
+                    retained.load(text);
                     List<Object> again = new ArrayList<>(kept);
-                    again.addAll(held.parsed);
+                    again.addAll(retained.parsed);
                     wrong.append(
                             compare(
                                     name + ", received again",
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -7,7 +7,7 @@
 import cedarrudder.footprint.EndpointListShape;
 import cedarrudder.footprint.ProcessFootprint;
 import cedarrudder.footprint.ProcessShape;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import cedarrudder.toml.ConfigDocument;
 import java.io.File;
@@ -38,7 +38,7 @@
     private static final int READINGS = 10;
 
     /** The reported footprint of a process and its actual use. */
-    private record Seen(JsonObject says, long heap, long resident, int descriptors) {}
+    private record Footprints(JsonObject reported, long heap, long resident, int descriptors) {}
 
     /** Returns the flags of the platform's command, with every collection a compacting one. */
     private static List<String> flags() throws Exception {
@@ -53,7 +53,7 @@
         return flags;
     }
 
-    private static World world(int zones, int tenants) throws Exception {
+    private static ProxyHarness harness(int zones, int tenants) throws Exception {
         StringBuilder zone = new StringBuilder("\"room\"");
         for (int i = 1; i < zones; i++) {
             zone.append(",\"zone-").append(i).append('"');
@@ -67,7 +67,7 @@
                     .append(1.0 / tenants)
                     .append(",\"quota-per-s\":10}");
         }
-        return new World(0)
+        return new ProxyHarness(0)
                 .with("\"room\"", zone.toString())
                 .with(
                         "{\"name\": \"acme\", \"share\": 1.0, \"quota-per-s\": 100.0}",
@@ -78,13 +78,13 @@
      * Sends the lists on each watch from now on, and the last of them in answer to each request for
      * a list.
      */
-    private static void serveLists(World world, String... lists) {
-        Nodes.daemon(
+    private static void serveLists(ProxyHarness harness, String... lists) {
+        TestEndpoints.daemon(
                 () -> {
                     while (true) {
-                        Received lookup = world.lookups.take();
+                        Received lookup = harness.lookups.take();
                         if (lookup.first().contains("follow")) {
-                            lookup.raw(World.STREAM);
+                            lookup.raw(ProxyHarness.STREAM);
                             for (String list : lists) {
                                 lookup.chunk(list + "\n");
                             }
@@ -126,9 +126,9 @@
                                 "GC.class_histogram")
                         .redirectErrorStream(true)
                         .start();
-        String said = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(Await.end("the end of jcmd", jcmd), 0, said);
-        return said.lines()
+        String output = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(Await.end("the end of jcmd", jcmd), 0, output);
+        return output.lines()
                 .filter(line -> line.startsWith("Total"))
                 .mapToLong(line -> Long.parseLong(line.strip().split("\\s+")[2]))
                 .findFirst()
@@ -140,12 +140,12 @@
      * waiting for discovery, and the spare connection beside them, would be counted as in use
      * before a list was received; they end once it is.
      */
-    private static AtomicBoolean resetLookups(World world) {
+    private static AtomicBoolean resetLookups(ProxyHarness harness) {
         AtomicBoolean resetting = new AtomicBoolean(true);
-        Nodes.daemon(
+        TestEndpoints.daemon(
                 () -> {
                     while (resetting.get()) {
-                        Received lookup = world.lookups.poll(1, TimeUnit.MILLISECONDS);
+                        Received lookup = harness.lookups.poll(1, TimeUnit.MILLISECONDS);
                         if (lookup != null) {
                             lookup.reset();
                         }
@@ -154,25 +154,26 @@
         return resetting;
     }
 
-    private static ProxyUnderTest start(World world, List<String> flags) throws IOException {
+    private static ProxyUnderTest start(ProxyHarness harness, List<String> flags)
+            throws IOException {
         return new ProxyUnderTest(
-                world,
+                harness,
                 Files.createTempDirectory("fit"),
                 "",
                 flags,
                 List.of("--operator", operator("").toString()));
     }
 
-    private static Seen rest(int nodes, int zones, int tenants) throws Exception {
-        try (World world = world(zones, tenants);
-                ProxyUnderTest proxy = start(world, flags())) {
-            AtomicBoolean resetting = resetLookups(world);
+    private static Footprints rest(int nodes, int zones, int tenants) throws Exception {
+        try (ProxyHarness harness = harness(zones, tenants);
+                ProxyUnderTest proxy = start(harness, flags())) {
+            AtomicBoolean resetting = resetLookups(harness);
             proxy.awaitLine("proxy.started");
             live(proxy.process); // the first run, since the objects that jcmd itself leaves
             // there don't count
             live(proxy.process);
             resetting.set(false);
-            serveLists(world, list(nodes, zones));
+            serveLists(harness, list(nodes, zones));
             proxy.awaitFigure("registry_entries", nodes);
             long resident = pages(proxy.process);
             int descriptors = Integer.MAX_VALUE;
@@ -184,11 +185,11 @@
                         Math.min(descriptors, proxy.descriptors() - 1); // except the one for jcmd
                 Thread.sleep(20);
             }
-            JsonObject says =
-                    JsonObject.parse(proxy.call("GET", "/-/metrics").body())
+            JsonObject reported =
+                    JsonObject.parse(proxy.request("GET", "/-/metrics").body())
                             .child("footprint")
                             .child("process");
-            return new Seen(says, live(proxy.process), resident, descriptors);
+            return new Footprints(reported, live(proxy.process), resident, descriptors);
         }
     }
 
@@ -200,24 +201,24 @@
         List<String> flags = new ArrayList<>(flags());
         // Otherwise softly referenced objects may be collected between two readings.
         flags.add("-XX:SoftRefLRUPolicyMSPerMB=1000000");
-        try (World world = world(zones, tenants);
-                ProxyUnderTest proxy = start(world, flags)) {
-            AtomicBoolean resetting = resetLookups(world);
+        try (ProxyHarness harness = harness(zones, tenants);
+                ProxyUnderTest proxy = start(harness, flags)) {
+            AtomicBoolean resetting = resetLookups(harness);
             proxy.awaitLine("proxy.started");
             long before = minLive(proxy.process);
             resetting.set(false);
-            serveLists(world, list(nodes, zones));
+            serveLists(harness, list(nodes, zones));
             proxy.awaitFigure("registry_entries", nodes);
             return minLive(proxy.process) - before;
         }
     }
 
     private static long minLive(Process process) throws Exception {
-        long min = Long.MAX_VALUE;
+        long minBytes = Long.MAX_VALUE;
         for (int i = 0; i < READINGS; i++) {
-            min = Math.min(min, live(process));
+            minBytes = Math.min(minBytes, live(process));
         }
-        return min;
+        return minBytes;
     }
 
     /** Returns the estimated heap bytes of a list and of the watch that receives it. */
@@ -246,10 +247,13 @@
         for (int nodes = 10; nodes <= Integer.getInteger("footprint.nodes", 1_000); nodes *= 10) {
             for (int zones : all ? new int[] {1, 12} : new int[] {12}) {
                 for (int tenants : all ? new int[] {1, 20} : new int[] {20}) {
-                    Seen seen = rest(nodes, zones, tenants);
+                    Footprints footprints = rest(nodes, zones, tenants);
                     String name = nodes + " nodes, " + zones + " zones, " + tenants + " tenants, ";
                     wrong.append(
-                            compare(name + "heap", seen.says.integer("heap_at_rest"), seen.heap));
+                            compare(
+                                    name + "heap",
+                                    footprints.reported.integer("heap_at_rest"),
+                                    footprints.heap));
                     wrong.append(
                             compare(
                                     name + "list alone",
@@ -258,13 +262,13 @@
                     wrong.append(
                             compare(
                                     name + "resident",
-                                    seen.says.integer("resident"),
-                                    seen.resident));
+                                    footprints.reported.integer("resident"),
+                                    footprints.resident));
                     wrong.append(
                             compare(
                                     name + "descriptors",
-                                    seen.says.integer("descriptors"),
-                                    seen.descriptors));
+                                    footprints.reported.integer("descriptors"),
+                                    footprints.descriptors));
                 }
             }
         }
@@ -280,11 +284,11 @@
                 nodes *= 10) {
             Path begin = Files.createTempDirectory("fit").resolve("begin");
             List<String> flags = new ArrayList<>(flags());
-            flags.add("-D" + Collecting.FILE + "=" + begin);
-            try (World world = world(12, 20);
+            flags.add("-D" + GarbageCollectingDaemon.FILE + "=" + begin);
+            try (ProxyHarness harness = harness(12, 20);
                     ProxyUnderTest proxy =
                             new ProxyUnderTest(
-                                    world,
+                                    harness,
                                     Files.createTempDirectory("fit"),
                                     "",
                                     flags,
@@ -293,7 +297,7 @@
                                             ProxyUnderTest.JAR
                                                     + File.pathSeparator
                                                     + Path.of("daemon", "target", "test-classes"),
-                                            "cedarrudder.program.Collecting"),
+                                            "cedarrudder.program.GarbageCollectingDaemon"),
                                     List.of("--operator", operator("").toString()))) {
                 proxy.awaitLine("proxy.started");
                 Files.createFile(begin);
@@ -301,24 +305,28 @@
                         "the first collection",
                         proxy.process,
                         proxy.log,
-                        line -> Collecting.max(line) > 0);
+                        line -> GarbageCollectingDaemon.max(line) > 0);
                 // Sent several times: a peak is short, and each of these loads has one.
                 String list = list(nodes, 12);
-                serveLists(world, list, list, list, list(nodes - 1, 12));
+                serveLists(harness, list, list, list, list(nodes - 1, 12));
                 long[] max = {0};
                 proxy.awaitFigure("registry_entries", nodes - 1);
-                JsonObject says =
-                        JsonObject.parse(proxy.call("GET", "/-/metrics").body())
+                JsonObject reported =
+                        JsonObject.parse(proxy.request("GET", "/-/metrics").body())
                                 .child("footprint")
                                 .child("process");
                 proxy.signal("TERM");
                 proxy.rest()
                         .lines()
-                        .forEach(line -> max[0] = Math.max(max[0], Collecting.max(line)));
+                        .forEach(
+                                line ->
+                                        max[0] =
+                                                Math.max(
+                                                        max[0], GarbageCollectingDaemon.max(line)));
                 wrong.append(
                         compare(
                                 nodes + " nodes, at the peak",
-                                says.integer("heap_at_peak"),
+                                reported.integer("heap_at_peak"),
                                 max[0]));
             }
         }
@@ -329,10 +337,10 @@
     @Test
     public void theHistoryRecordsTheEstimateAndTheUseAfterwards() throws Exception {
         Path history = Files.createTempDirectory("history").resolve("history.jsonl");
-        try (World world = world(3, 2);
+        try (ProxyHarness harness = harness(3, 2);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 Files.createTempDirectory("fit"),
                                 "",
                                 flags(),
@@ -343,30 +351,30 @@
                                                                 + history
                                                                 + "\"\n")
                                                 .toString()))) {
-            serveLists(world, list(300, 3));
+            serveLists(harness, list(300, 3));
             proxy.awaitLine("proxy.started");
             proxy.awaitFigure("registry_entries", 300);
             Await.until(
                     "the use after the load", () -> Files.readString(history).contains("\"held\""));
         }
-        List<JsonObject> said =
+        List<JsonObject> output =
                 Files.readAllLines(history).stream()
                         .map(JsonObject::parse)
                         .filter(line -> line.isText("load"))
                         .toList();
         assertEquals(
-                said.stream().map(line -> line.text("what", "")).toList(),
+                output.stream().map(line -> line.text("what", "")).toList(),
                 List.of("estimate", "took", "held"));
         assertEquals(
-                said.stream().map(line -> line.text("load", "")).distinct().toList(),
+                output.stream().map(line -> line.text("load", "")).distinct().toList(),
                 List.of("list 1"));
-        assertEquals(said.get(0).text("fits", ""), "1");
-        assertEquals(said.get(0).text("bound", ""), said.get(2).text("bound", ""));
+        assertEquals(output.get(0).text("fits", ""), "1");
+        assertEquals(output.get(0).text("bound", ""), output.get(2).text("bound", ""));
         assertEquals(
                 compare(
                         "300 nodes, by the history",
-                        Long.parseLong(said.get(0).text("needed", "")),
-                        Long.parseLong(said.get(2).text("now", ""))),
+                        Long.parseLong(output.get(0).text("needed", "")),
+                        Long.parseLong(output.get(2).text("now", ""))),
                 "");
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/Collecting.java
+++ b/daemon/src/test/java/cedarrudder/program/GarbageCollectingDaemon.java
@@ -8,14 +8,14 @@
  * each new maximum of the live heap bytes. The program runs for a millisecond between two
  * collections, so that hardly a peak is missed.
  */
-final class Collecting {
+final class GarbageCollectingDaemon {
 
     /** The system property that names the file. */
     static final String FILE = "collecting.file";
 
-    private static final String SAYS = "most ";
+    private static final String MAX_PREFIX = "most ";
 
-    private Collecting() {}
+    private GarbageCollectingDaemon() {}
 
     public static void main(String[] args) throws Exception {
         Path file = Path.of(System.getProperty(FILE));
@@ -32,7 +32,7 @@
                                     long now = ProcessMemoryEstimate.liveHeapBytes();
                                     if (now > max) {
                                         max = now;
-                                        System.err.println(SAYS + now);
+                                        System.err.println(MAX_PREFIX + now);
                                     }
                                 }
                             } catch (InterruptedException e) {
@@ -46,6 +46,8 @@
 
     /** Returns the maximum that a line reports; 0 for any other line. */
     static long max(String line) {
-        return line.startsWith(SAYS) ? Long.parseLong(line.substring(SAYS.length())) : 0;
+        return line.startsWith(MAX_PREFIX)
+                ? Long.parseLong(line.substring(MAX_PREFIX.length()))
+                : 0;
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/HistoryFileTest.java
+++ b/daemon/src/test/java/cedarrudder/program/HistoryFileTest.java
@@ -37,7 +37,7 @@
             for (int i = 0; i < MANY; i++) {
                 history.record("dead", Map.of("about", i));
             }
-            long took = System.nanoTime() - begin;
+            long elapsed = System.nanoTime() - begin;
             reader.getOutputStream().write('\n');
             reader.getOutputStream().flush();
             String first = in.readLine();
@@ -60,7 +60,7 @@
                 }
             }
             assertTrue(line.matches(".*\"events\":\"\\d{4,5}\"}"), line);
-            assertTrue(took < TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS), took + " ns");
+            assertTrue(elapsed < TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS), elapsed + " ns");
         } finally {
             reader.destroy();
             Files.delete(pipe);
--- a/daemon/src/test/java/cedarrudder/program/IgnoredSignalIT.java
+++ b/daemon/src/test/java/cedarrudder/program/IgnoredSignalIT.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.toml.ConfigDocument;
 import java.io.BufferedReader;
 import java.io.File;
@@ -61,8 +61,8 @@
         return log;
     }
 
-    private static boolean nextLookupIsAt(World world, int port) {
-        Received lookup = world.lookups.poll();
+    private static boolean nextLookupIsAt(ProxyHarness harness, int port) {
+        Received lookup = harness.lookups.poll();
         return lookup != null && lookup.socket().getLocalPort() == port;
     }
 
@@ -70,18 +70,19 @@
     @Test(dataProvider = "commands")
     public void sighupSwitchesToTheNewDiscoveryAddress(String command) throws Exception {
         Path file = Files.createTempFile("cedarrudder", ".json");
-        try (World world = new World(1)) {
-            Files.writeString(file, world.configuration());
+        try (ProxyHarness harness = new ProxyHarness(1)) {
+            Files.writeString(file, harness.configuration());
             Process process = start(command, file);
             try {
                 awaitStart(process);
-                int former = world.discovery.server.getLocalPort();
-                world.discovery = world.new Peer(world.lookups);
-                int moved = world.discovery.server.getLocalPort();
+                int former = harness.discovery.server.getLocalPort();
+                harness.discovery = harness.new Peer(harness.lookups);
+                int moved = harness.discovery.server.getLocalPort();
                 assertNotEquals(moved, former);
-                Files.writeString(file, world.configuration());
+                Files.writeString(file, harness.configuration());
                 ProxyUnderTest.signal(process, "HUP");
-                Await.until("a request to the moved discovery", () -> nextLookupIsAt(world, moved));
+                Await.until(
+                        "a request to the moved discovery", () -> nextLookupIsAt(harness, moved));
             } finally {
                 process.destroyForcibly();
             }
@@ -92,8 +93,8 @@
     @Test(dataProvider = "commands")
     public void sigtermDrainsTheProxy(String command) throws Exception {
         Path file = Files.createTempFile("cedarrudder", ".json");
-        try (World world = new World(1)) {
-            Files.writeString(file, world.configuration());
+        try (ProxyHarness harness = new ProxyHarness(1)) {
+            Files.writeString(file, harness.configuration());
             Process process = start(command, file);
             try {
                 BufferedReader log = awaitStart(process);
--- a/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -21,8 +21,8 @@
  */
 public class OperationUnderLoadTest {
 
-    private static final int CALLERS = 8;
-    private static final int CALLS = 100;
+    private static final int CLIENTS = 8;
+    private static final int REQUESTS_PER_CLIENT = 100;
 
     /** The time for which a draining endpoint may still get new requests, in nanoseconds. */
     private static final long DRAIN_GRACE = 2_000_000_000L;
@@ -42,11 +42,12 @@
      * Sends requests until stopped, or up to a number; disconnects before the answer to every tenth
      * one.
      */
-    private void call(World world, String name, AtomicBoolean on, int max) throws IOException {
-        Caller open = null;
+    private void sendRequests(ProxyHarness harness, String name, AtomicBoolean on, int max)
+            throws IOException {
+        Client open = null;
         for (int i = 0; i < max && on.get(); i++) {
-            open = open == null ? world.caller() : open;
-            open.send(World.request("order", "/api", "x").replace("id-1", name + i));
+            open = open == null ? harness.client() : open;
+            open.send(ProxyHarness.request("order", "/api", "x").replace("id-1", name + i));
             if (i % 10 == 9) {
                 open.close();
                 open = null;
@@ -64,15 +65,15 @@
         }
     }
 
-    private List<Thread> load(World world, AtomicBoolean on, int max) {
+    private List<Thread> load(ProxyHarness harness, AtomicBoolean on, int max) {
         List<Thread> threads = new ArrayList<>();
-        for (int i = 0; i < CALLERS; i++) {
+        for (int i = 0; i < CLIENTS; i++) {
             String name = "c" + i + "-";
             Thread thread =
                     new Thread(
                             () -> {
                                 try {
-                                    call(world, name, on, max);
+                                    sendRequests(harness, name, on, max);
                                 } catch (IOException e) {
                                     failed.addAndGet(1_000_000); // no client's connection may break
                                 }
@@ -88,51 +89,52 @@
     public void metricsMatchWhatClientsAndEndpointsObservedUnderLoadAndFaults() throws Exception {
         AtomicInteger arrived = new AtomicInteger();
         reset();
-        try (World world = new World(3).withAdmin().start()) {
-            Nodes.play(
-                    world,
-                    call -> {
+        try (ProxyHarness harness = new ProxyHarness(3).withAdmin().start()) {
+            TestEndpoints.handleRequests(
+                    harness,
+                    request -> {
                         switch (arrived.incrementAndGet() % 10) {
-                            case 3 -> call.reply("500 Broken", "");
-                            case 6 -> call.reply("503 Full", "", "Srv-Declined: 1");
-                            case 9 -> call.reset();
-                            default -> call.reply("200 OK", "done");
+                            case 3 -> request.reply("500 Broken", "");
+                            case 6 -> request.reply("503 Full", "", "Srv-Declined: 1");
+                            case 9 -> request.reset();
+                            default -> request.reply("200 OK", "done");
                         }
                     });
-            for (Thread thread : load(world, new AtomicBoolean(true), CALLS)) {
+            for (Thread thread : load(harness, new AtomicBoolean(true), REQUESTS_PER_CLIENT)) {
                 Await.end("the end of a client", thread);
             }
-            JsonObject page = page(world);
+            JsonObject page = page(harness);
             // An endpoint may still be reading the request of a client that disconnected.
             for (int i = 0;
                     i < 20_000
                             && (page.integer("open_requests") > 0
                                     || page.integer("relayed") != arrived.get());
                     i++) {
-                page = page(world);
+                page = page(harness);
             }
             JsonObject orders = page.child("operations").child("order");
             // A request whose client disconnected may count as any outcome: it may have been
             // answered already.
-            long spare = CALLERS * CALLS - served.get() - refused.get() - failed.get();
+            long spare =
+                    CLIENTS * REQUESTS_PER_CLIENT - served.get() - refused.get() - failed.get();
             assertEquals(spare, left.get());
             long counted = 0;
             String[] names = {"fulfilled", "throttled", "faulted"};
-            int[] seen = {served.get(), refused.get(), failed.get()};
+            int[] observed = {served.get(), refused.get(), failed.get()};
             for (int i = 0; i < names.length; i++) {
-                long told = orders.integer(names[i]);
-                counted += told;
+                long reported = orders.integer(names[i]);
+                counted += reported;
                 assertTrue(
-                        told >= seen[i] && told <= seen[i] + left.get(),
-                        names[i] + ": reported " + told + ", observed " + seen[i]);
+                        reported >= observed[i] && reported <= observed[i] + left.get(),
+                        names[i] + ": reported " + reported + ", observed " + observed[i]);
             }
-            assertTrue(counted + orders.integer("left") <= CALLERS * CALLS);
+            assertTrue(counted + orders.integer("left") <= CLIENTS * REQUESTS_PER_CLIENT);
             assertEquals(page.integer("relayed"), arrived.get());
         }
     }
 
-    private static JsonObject page(World world) throws IOException {
-        return JsonObject.parse(world.operator("GET", "/-/metrics").body());
+    private static JsonObject page(ProxyHarness harness) throws IOException {
+        return JsonObject.parse(harness.operator("GET", "/-/metrics").body());
     }
 
     /**
@@ -144,37 +146,37 @@
         AtomicBoolean on = new AtomicBoolean(true);
         ConcurrentLinkedQueue<Long> at = new ConcurrentLinkedQueue<>();
         reset();
-        try (World world = new World(3).withAdmin().start()) {
-            int port = world.nodes.get(0).server.getLocalPort();
-            Nodes.play(
-                    world,
-                    call -> {
-                        if (call.socket().getLocalPort() == port) {
+        try (ProxyHarness harness = new ProxyHarness(3).withAdmin().start()) {
+            int port = harness.nodes.get(0).server.getLocalPort();
+            TestEndpoints.handleRequests(
+                    harness,
+                    request -> {
+                        if (request.socket().getLocalPort() == port) {
                             at.add(System.nanoTime());
                         }
-                        call.reply("200 OK", "done");
+                        request.reply("200 OK", "done");
                     });
-            List<Thread> threads = load(world, on, Integer.MAX_VALUE);
+            List<Thread> threads = load(harness, on, Integer.MAX_VALUE);
             Await.until("a request at n0", () -> !at.isEmpty());
-            assertEquals(world.status("POST", "/-/nodes/n0/disable"), 200);
-            long yes = System.nanoTime();
+            assertEquals(harness.status("POST", "/-/nodes/n0/disable"), 200);
+            long disabledAt = System.nanoTime();
             int before = served.get();
             Await.until(
                     "100 more served",
                     () ->
-                            System.nanoTime() - yes >= 2 * DRAIN_GRACE
+                            System.nanoTime() - disabledAt >= 2 * DRAIN_GRACE
                                     && served.get() >= before + 100);
             assertTrue(
-                    at.stream().allMatch(time -> time < yes + DRAIN_GRACE),
+                    at.stream().allMatch(time -> time < disabledAt + DRAIN_GRACE),
                     "sent to a disabled endpoint");
             // Not earlier: a request on its way there during the close may have run, and fails as
             // it must.
-            world.nodes.get(0).close();
+            harness.nodes.get(0).close();
             int without = served.get();
             Await.until("100 more served without it", () -> served.get() >= without + 100);
-            world.restart(0);
+            harness.restart(0);
             int then = at.size();
-            assertEquals(world.status("POST", "/-/nodes/n0/enable"), 200);
+            assertEquals(harness.status("POST", "/-/nodes/n0/enable"), 200);
             Await.until("a request at n0 again", () -> at.size() > then);
             on.set(false);
             for (Thread thread : threads) {
--- a/daemon/src/test/java/cedarrudder/program/OperatorScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperatorScenarioTest.java
@@ -6,8 +6,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.operator.OperatorFile;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -33,39 +33,39 @@
         }
     }
 
-    private static void serve(World world, Caller caller, String id) throws Exception {
-        caller.send(World.request("lookup", "/api", "").replace("id-1", id));
-        world.call().reply("200 OK", id);
-        assertEquals(caller.read().body(), id);
+    private static void serve(ProxyHarness harness, Client client, String id) throws Exception {
+        client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", id));
+        harness.nextRequest().reply("200 OK", id);
+        assertEquals(client.read().body(), id);
     }
 
     /** Waits until the proxy closes a silent connection because its request is overdue. */
-    private static void awaitOverdue(World world) throws Exception {
-        try (Caller silent = world.caller()) {
+    private static void awaitOverdue(ProxyHarness harness) throws Exception {
+        try (Client silent = harness.client()) {
             assertNull(silent.read());
         }
     }
 
     @Test
     public void byteBoundsApplyToClientsAndEndpoints() throws Exception {
-        try (World world =
-                new World(1)
+        try (ProxyHarness harness =
+                new ProxyHarness(1)
                         .with(
                                 operator(
                                         "[callers]\nhead_bytes = 1024\nbody_bytes = 3\n"
                                                 + "[nodes]\nhead_bytes = 2048\nbody_bytes = 5\n"))
                         .start()) {
             String[][] sent = {
-                {World.request("order", "/api", "four"), "413"},
-                {World.request("lookup", "/api", "", "A: " + "x".repeat(1024)), "431"}
+                {ProxyHarness.request("order", "/api", "four"), "413"},
+                {ProxyHarness.request("lookup", "/api", "", "A: " + "x".repeat(1024)), "431"}
             };
             for (String[] each : sent) {
-                try (Caller caller = world.caller()) {
-                    String first = caller.send(each[0]).read().first();
+                try (Client client = harness.client()) {
+                    String first = client.send(each[0]).read().first();
                     assertTrue(first.startsWith("HTTP/1.1 " + each[1]), first);
                 }
             }
-            try (Caller caller = world.caller()) {
+            try (Client client = harness.client()) {
                 String ok = "HTTP/1.1 200 OK\r\nContent-Length: ";
                 String[][] answers = {
                     {ok + "5\r\n\r\n12345", "200"},
@@ -73,9 +73,9 @@
                     {ok + "0\r\nA: " + "x".repeat(2048) + "\r\n\r\n", "502"}
                 };
                 for (String[] each : answers) {
-                    caller.send(World.request("order", "/api", "abc"));
-                    world.call().raw(each[0]);
-                    assertTrue(caller.read().first().startsWith("HTTP/1.1 " + each[1]), each[0]);
+                    client.send(ProxyHarness.request("order", "/api", "abc"));
+                    harness.nextRequest().raw(each[0]);
+                    assertTrue(client.read().first().startsWith("HTTP/1.1 " + each[1]), each[0]);
                 }
             }
         }
@@ -84,18 +84,18 @@
     /** Without the setting an idle client is closed long after one that has sent nothing. */
     @Test
     public void timeoutsForClientsApply() throws Exception {
-        try (World world =
-                        new World(1)
+        try (ProxyHarness harness =
+                        new ProxyHarness(1)
                                 .with(
                                         operator(
                                                 "[callers]\nrequest_patience_ms = 60000\n"
                                                         + "idle_patience_ms = 500\n"))
                                 .start();
-                Caller silent = world.caller();
-                Caller idle = world.caller()) {
-            serve(world, idle, "once");
+                Client silent = harness.client();
+                Client idle = harness.client()) {
+            serve(harness, idle, "once");
             assertNull(idle.read());
-            serve(world, silent, "late");
+            serve(harness, silent, "late");
         }
     }
 
@@ -105,8 +105,8 @@
      */
     @Test
     public void timeoutsForEndpointsApply() throws Exception {
-        try (World world =
-                new World(1)
+        try (ProxyHarness harness =
+                new ProxyHarness(1)
                         .with(
                                 operator(
                                         "[nodes]\n"
@@ -114,18 +114,18 @@
                                                 + "answer_patience_ms = 10000\n"
                                                 + "[callers]\n"
                                                 + "request_patience_ms = 1000\n"))) {
-            world.probesWait = true;
-            world.start();
-            Received probe = World.await(world.probes);
-            awaitOverdue(world);
-            assertFalse(world.ended.contains(probe.socket()), "the probe was given up");
-            try (Caller caller = world.caller()) {
-                caller.send(World.request("order", "/api", "x"));
-                Received call = world.call();
-                call.raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
-                awaitOverdue(world);
-                call.raw("lf");
-                assertEquals(caller.read().body(), "half");
+            harness.probesWait = true;
+            harness.start();
+            Received probe = ProxyHarness.await(harness.probes);
+            awaitOverdue(harness);
+            assertFalse(harness.ended.contains(probe.socket()), "the probe was given up");
+            try (Client client = harness.client()) {
+                client.send(ProxyHarness.request("order", "/api", "x"));
+                Received request = harness.nextRequest();
+                request.raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
+                awaitOverdue(harness);
+                request.raw("lf");
+                assertEquals(client.read().body(), "half");
             }
         }
     }
@@ -136,12 +136,14 @@
      */
     @Test
     public void theTimeoutForDiscoveryApplies() throws Exception {
-        try (World world =
-                new World(1).with(operator("[discovery]\ncall_patience_ms = 100\n")).start()) {
-            World.await(world.lookups);
-            awaitOverdue(world);
-            assertTrue(world.log.toString(StandardCharsets.UTF_8).contains("why=silent"));
-            World.await(world.lookups);
+        try (ProxyHarness harness =
+                new ProxyHarness(1)
+                        .with(operator("[discovery]\ncall_patience_ms = 100\n"))
+                        .start()) {
+            ProxyHarness.await(harness.lookups);
+            awaitOverdue(harness);
+            assertTrue(harness.log.toString(StandardCharsets.UTF_8).contains("why=silent"));
+            ProxyHarness.await(harness.lookups);
         }
     }
 
@@ -150,19 +152,20 @@
     public void aClientThatDoesNotReadIsClosed() throws Exception {
         int answers = 160;
         String answer = "x".repeat(60_000);
-        try (World world =
-                        new World(1)
+        try (ProxyHarness harness =
+                        new ProxyHarness(1)
                                 .with(operator("[callers]\nanswer_patience_ms = 500\n"))
                                 .start();
-                Caller deaf = world.caller()) {
-            Nodes.play(world, call -> call.reply("200 OK", answer));
+                Client nonReading = harness.client()) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", answer));
             for (int i = 0; i < answers; i++) {
-                deaf.send(World.request("lookup", "/api", "").replace("id-1", "id" + i));
+                nonReading.send(
+                        ProxyHarness.request("lookup", "/api", "").replace("id-1", "id" + i));
             }
-            awaitOverdue(world);
+            awaitOverdue(harness);
             int read = 0;
             try {
-                while (deaf.read() != null) {
+                while (nonReading.read() != null) {
                     read++;
                 }
             } catch (java.io.IOException e) {
@@ -175,25 +178,26 @@
     /** A reduced bound on connections of clients applies as soon as the file is reloaded. */
     @Test
     public void theFractionOfDescriptorsForClientsAppliesAtOnce() throws Exception {
-        List<Caller> idle = new ArrayList<>();
-        try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 20").start()) {
+        List<Client> idle = new ArrayList<>();
+        try (ProxyHarness harness =
+                new ProxyHarness(1).with("\"sockets\": 1024", "\"sockets\": 20").start()) {
             for (int i = 0; i < 10; i++) {
-                idle.add(world.caller());
-                serve(world, idle.get(i), "id" + i);
+                idle.add(harness.client());
+                serve(harness, idle.get(i), "id" + i);
             }
-            world.with(operator("[callers]\ndescriptors_share = 0.2\n"));
+            harness.with(operator("[callers]\ndescriptors_share = 0.2\n"));
             for (int i = 0; i < 6; i++) {
                 assertNull(idle.get(i).read());
             }
             for (int i = 6; i < 10; i++) {
-                serve(world, idle.get(i), "kept" + i);
+                serve(harness, idle.get(i), "kept" + i);
             }
-            try (Caller fifth = world.caller()) {
+            try (Client fifth = harness.client()) {
                 assertNull(idle.get(6).read());
-                serve(world, fifth, "fifth");
+                serve(harness, fifth, "fifth");
             }
-            for (Caller caller : idle) {
-                caller.close();
+            for (Client client : idle) {
+                client.close();
             }
         }
     }
@@ -201,24 +205,26 @@
     /** One connection remains where otherwise five may be idle. */
     @Test
     public void theFractionOfDescriptorsForEndpointsAppliesAtOnce() throws Exception {
-        List<Caller> callers = new ArrayList<>();
-        List<Received> calls = new ArrayList<>();
-        try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 20").start()) {
+        List<Client> clients = new ArrayList<>();
+        List<Received> requests = new ArrayList<>();
+        try (ProxyHarness harness =
+                new ProxyHarness(1).with("\"sockets\": 1024", "\"sockets\": 20").start()) {
             for (int i = 0; i < 4; i++) {
-                callers.add(world.caller());
-                callers.get(i).send(World.request("lookup", "/api", "").replace("id-1", "id" + i));
-                calls.add(world.call());
+                clients.add(harness.client());
+                clients.get(i)
+                        .send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "id" + i));
+                requests.add(harness.nextRequest());
             }
             for (int i = 0; i < 4; i++) {
-                calls.get(i).reply("200 OK", "done");
-                assertEquals(callers.get(i).read().body(), "done");
+                requests.get(i).reply("200 OK", "done");
+                assertEquals(clients.get(i).read().body(), "done");
             }
-            Received oldest = calls.get(0);
-            world.with(operator("[nodes]\ndescriptors_share = 0.05\n"));
+            Received oldest = requests.get(0);
+            harness.with(operator("[nodes]\ndescriptors_share = 0.05\n"));
             oldest.awaitEnd();
-            serve(world, callers.get(0), "still");
-            for (Caller caller : callers) {
-                caller.close();
+            serve(harness, clients.get(0), "still");
+            for (Client client : clients) {
+                client.close();
             }
         }
     }
@@ -229,25 +235,25 @@
         SplittableRandom random = new SplittableRandom(seed);
         int peers = 100;
         long from = System.nanoTime();
-        try (World world =
-                        new World(1)
+        try (ProxyHarness harness =
+                        new ProxyHarness(1)
                                 .with(
                                         operator(
                                                 "[log]\nformat = \"json\"\nlines_per_s = 5\n"
                                                         + "line_chars = 100\nlevel = \"warn\"\n"))
                                 .start();
-                Caller caller = world.caller()) {
+                Client client = harness.client()) {
             for (int i = 0; i < peers; i++) {
                 byte[] garbage = new byte[2000];
                 random.nextBytes(garbage);
-                try (Caller bad = world.caller()) {
+                try (Client bad = harness.client()) {
                     bad.send(new String(garbage, StandardCharsets.ISO_8859_1) + "\r\n\r\n").read();
                 } catch (java.io.IOException e) {
                     // the proxy may close before it has read everything
                 }
             }
-            serve(world, caller, "good");
-            List<String> lines = world.log.toString(StandardCharsets.UTF_8).lines().toList();
+            serve(harness, client, "good");
+            List<String> lines = harness.log.toString(StandardCharsets.UTF_8).lines().toList();
             long seconds = (System.nanoTime() - from) / 1_000_000_000L + 2;
             assertTrue(
                     lines.size() > 0 && lines.size() <= seconds * 6,
--- a/daemon/src/test/java/cedarrudder/program/PersistentCallers.java
+++ b/daemon/src/test/java/cedarrudder/program/PersistentClients.java
@@ -1,8 +1,8 @@
 package cedarrudder.program;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.SocketException;
@@ -15,14 +15,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /** Clients that each send requests on one connection until it is closed. */
-final class PersistentCallers {
+final class PersistentClients {
 
     /** The outcomes of a connection or request in which nothing is lost. */
     private static final List<String> IN_ORDER = List.of("200", "503", "told", "closed before");
 
     private static final int MAX_PAUSE_MILLIS = 30;
 
-    private final World world;
+    private final ProxyHarness harness;
     private final Random random;
     private final List<Thread> threads = new ArrayList<>();
     private final AtomicBoolean anyEnded = new AtomicBoolean();
@@ -33,8 +33,8 @@
     /**
      * @param random the source of the pauses between the requests of a client
      */
-    PersistentCallers(World world, Random random) {
-        this.world = world;
+    PersistentClients(ProxyHarness harness, Random random) {
+        this.harness = harness;
         this.random = random;
     }
 
@@ -48,18 +48,18 @@
 
     private void run(String name, Random pauses) {
         String last = "none";
-        try (Caller caller = world.caller()) {
+        try (Client client = harness.client()) {
             for (int i = 0; last.equals("none"); i++) {
                 try {
-                    caller.send(
-                            World.request("order", "/api", "x")
+                    client.send(
+                            ProxyHarness.request("order", "/api", "x")
                                     .replace("id-1", name + i)
                                     .replace("30000", "900"));
                 } catch (SocketException e) {
                     last = "closed before";
                     continue;
                 }
-                Received answer = caller.read();
+                Received answer = client.read();
                 if (answer == null) {
                     last = "closed before";
                 } else {
@@ -69,7 +69,7 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            last = e instanceof ConnectException ? "not let in" : "reset: " + e;
+            last = e instanceof ConnectException ? "connection refused" : "reset: " + e;
         }
         ends.merge(last, 1, Integer::sum);
         anyEnded.set(true);
@@ -85,7 +85,7 @@
 
     void awaitEnds() throws InterruptedException {
         for (Thread thread : threads) {
-            Await.end("the end of a caller's connection", thread);
+            Await.end("the end of a client's connection", thread);
         }
     }
 
--- a/daemon/src/test/java/cedarrudder/program/World.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyHarness.java
@@ -35,13 +35,13 @@
  * that the test plays. Endpoints answer probes automatically; every other message is queued until
  * the test answers it.
  */
-final class World implements AutoCloseable {
+final class ProxyHarness implements AutoCloseable {
 
     /**
      * Limits every wait of a test for an expected event; no result depends on how soon the event
      * occurs.
      */
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     /** The head with which discovery starts its answer to a watch. */
     static final String STREAM = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -105,7 +105,7 @@
      * accept} still uses the old socket for a moment.
      */
     private static ServerSocket listen(int port, int queue) throws IOException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
         while (true) {
             try {
                 return new ServerSocket(port, queue, InetAddress.getLoopbackAddress());
@@ -197,12 +197,12 @@
             nodes.get(node).close();
             int port = nodes.get(node).server.getLocalPort();
             server = listen(port, 1);
-            while (connects(port)) {
+            while (fillQueue(port)) {
                 // until its queue is full
             }
         }
 
-        private boolean connects(int port) throws IOException {
+        private boolean fillQueue(int port) throws IOException {
             Socket socket = new Socket();
             try {
                 socket.connect(
@@ -217,7 +217,7 @@
 
         /** Accepts connections from now on and serves them like any endpoint. */
         void open() {
-            nodes.set(node, new Peer(calls, server));
+            nodes.set(node, new Peer(requests, server));
         }
 
         /**
@@ -249,10 +249,10 @@
     }
 
     /** A client's connection. */
-    static final class Caller implements Closeable {
+    static final class Client implements Closeable {
         private final Socket socket;
 
-        Caller(int port) throws IOException {
+        Client(int port) throws IOException {
             this(port, 0);
         }
 
@@ -260,29 +260,29 @@
          * @param receiveBufferBytes the size of the kernel's receive buffer for unread answers; 0
          *     for the system's default
          */
-        Caller(int port, int receiveBufferBytes) throws IOException {
+        Client(int port, int receiveBufferBytes) throws IOException {
             socket = new Socket();
             if (receiveBufferBytes > 0) {
                 socket.setReceiveBufferSize(receiveBufferBytes);
             }
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            socket.setSoTimeout(PATIENCE_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
         }
 
-        Caller send(String text) throws IOException {
+        Client send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
 
         /** Returns the next answer, or null if the proxy has closed the connection. */
         Received read() throws IOException {
-            return World.read(socket);
+            return ProxyHarness.read(socket);
         }
 
         /** Reads the head of the next answer; the test reads the body itself. */
         Received readHead() throws IOException {
-            return World.readHead(socket);
+            return ProxyHarness.readHead(socket);
         }
 
         InputStream in() throws IOException {
@@ -294,7 +294,7 @@
         }
 
         /** Makes the later close of this connection send a reset. */
-        void resets() throws IOException {
+        void resetOnClose() throws IOException {
             socket.setSoLinger(true, 0);
         }
 
@@ -309,7 +309,7 @@
         }
     }
 
-    final BlockingQueue<Received> calls = new LinkedBlockingQueue<>();
+    final BlockingQueue<Received> requests = new LinkedBlockingQueue<>();
     final BlockingQueue<Received> lookups = new LinkedBlockingQueue<>();
     final BlockingQueue<Received> probes = new LinkedBlockingQueue<>();
 
@@ -330,34 +330,34 @@
     private final Map<String, String> changes = new HashMap<>();
     Peer discovery = new Peer(lookups);
     final int port;
-    private final Socket held = new Socket();
+    private final Socket reservedPort = new Socket();
 
     /** The folder for the proxy's persistent state. */
     final Path state = Files.createTempDirectory("world").resolve("state");
 
-    private final Socket adminHeld = new Socket();
+    private final Socket reservedAdminPort = new Socket();
     private OperatorFile operator = OperatorFile.NONE;
     private ProxyServer proxy;
 
-    World(int nodeCount) throws IOException {
+    ProxyHarness(int nodeCount) throws IOException {
         for (int i = 0; i < nodeCount; i++) {
-            nodes.add(new Peer(calls));
+            nodes.add(new Peer(requests));
         }
         // Stays bound without listening until the test ends, so that no other socket gets the port
         // before the proxy does. The proxy may listen on it because both sockets set SO_REUSEADDR.
-        held.setReuseAddress(true);
-        held.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        port = held.getLocalPort();
+        reservedPort.setReuseAddress(true);
+        reservedPort.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        port = reservedPort.getLocalPort();
     }
 
     /** Replaces a text in the configuration by another. */
-    World with(String text, String other) {
+    ProxyHarness with(String text, String other) {
         changes.put(text, other);
         return this;
     }
 
     /** Sets the operator's file, or replaces it if the proxy is already running. */
-    World with(OperatorFile next) {
+    ProxyHarness with(OperatorFile next) {
         operator = next;
         if (proxy != null) {
             proxy.apply(next);
@@ -366,23 +366,23 @@
     }
 
     /** Gives the proxy an address for operators. */
-    World withAdmin() throws IOException {
-        adminHeld.setReuseAddress(true);
-        adminHeld.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    ProxyHarness withAdmin() throws IOException {
+        reservedAdminPort.setReuseAddress(true);
+        reservedAdminPort.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return with(
                 "\"listen\"",
-                "\"admin_addr\":\"127.0.0.1:" + adminHeld.getLocalPort() + "\",\"listen\"");
+                "\"admin_addr\":\"127.0.0.1:" + reservedAdminPort.getLocalPort() + "\",\"listen\"");
     }
 
     /** Opens an operator's connection. */
-    Caller operator() throws IOException {
-        return new Caller(adminHeld.getLocalPort());
+    Client operator() throws IOException {
+        return new Client(reservedAdminPort.getLocalPort());
     }
 
     /** Returns the proxy's answer to an operator's request. */
     Received operator(String method, String path) throws IOException {
-        try (Caller call = operator()) {
-            return call.send(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n").read();
+        try (Client client = operator()) {
+            return client.send(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n").read();
         }
     }
 
@@ -397,7 +397,7 @@
     }
 
     /** Starts a proxy in this process. */
-    World start() throws IOException, InterruptedException {
+    ProxyHarness start() throws IOException, InterruptedException {
         ProxyConfiguration configuration = ProxyConfiguration.parse(configuration());
         proxy =
                 new ProxyServer(
@@ -451,16 +451,16 @@
 
     /** Restarts a closed endpoint on its former port. */
     void restart(int node) throws IOException {
-        nodes.set(node, new Peer(calls, nodes.get(node).server.getLocalPort()));
+        nodes.set(node, new Peer(requests, nodes.get(node).server.getLocalPort()));
     }
 
-    Caller caller() throws IOException {
-        return new Caller(port);
+    Client client() throws IOException {
+        return new Client(port);
     }
 
     /** Returns the next request that reached an endpoint. */
-    Received call() throws InterruptedException {
-        return await(calls);
+    Received nextRequest() throws InterruptedException {
+        return await(requests);
     }
 
     static Received await(BlockingQueue<Received> queue) throws InterruptedException {
@@ -527,7 +527,7 @@
         for (Peer node : nodes) {
             node.close();
         }
-        held.close();
-        adminHeld.close();
+        reservedPort.close();
+        reservedAdminPort.close();
     }
 }
