--- a/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
@@ -6,8 +6,8 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -19,18 +19,20 @@
 
     @Test
     public void aRequestIsForwardedUnchangedAndItsAnswerReturned() throws Exception {
-        try (World world = new World(2).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("booking", "/api/x?y=1", "{\"a\":1}", "Idempotency-Key: k1"));
-            Received call = world.call();
-            assertEquals(call.first(), "POST /api/x?y=1 HTTP/1.1");
-            assertEquals(call.body(), "{\"a\":1}");
-            assertEquals(call.field("Req-Id"), "id-1");
-            assertEquals(call.field("Idempotency-Key"), "k1");
-            long left = Long.parseLong(call.field("Req-Deadline-Ms"));
+        try (ProxyHarness harness = new ProxyHarness(2).start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request(
+                            "booking", "/api/x?y=1", "{\"a\":1}", "Idempotency-Key: k1"));
+            Received request = harness.nextRequest();
+            assertEquals(request.first(), "POST /api/x?y=1 HTTP/1.1");
+            assertEquals(request.body(), "{\"a\":1}");
+            assertEquals(request.field("Req-Id"), "id-1");
+            assertEquals(request.field("Idempotency-Key"), "k1");
+            long left = Long.parseLong(request.field("Req-Deadline-Ms"));
             assertTrue(left > 0 && left < 30_000, "left " + left);
-            call.reply("200 OK", "done", "Content-Type: application/json");
-            Received answer = caller.read();
+            request.reply("200 OK", "done", "Content-Type: application/json");
+            Received answer = client.read();
             assertEquals(answer.first(), "HTTP/1.1 200 OK");
             assertEquals(answer.body(), "done");
             assertEquals(answer.field("Content-Type"), "application/json");
@@ -39,70 +41,70 @@
 
     @Test
     public void requestsAreParsedHoweverTheirBytesAreSplitOrJoined() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            for (char next : World.request("order", "/api", "body").toCharArray()) {
-                caller.send(String.valueOf(next));
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            for (char next : ProxyHarness.request("order", "/api", "body").toCharArray()) {
+                client.send(String.valueOf(next));
             }
-            Received split = world.call();
+            Received split = harness.nextRequest();
             assertEquals(split.body(), "body");
-            caller.send(
-                    World.request("order", "/api/2", "two")
-                            + World.request("lookup", "/api/3", ""));
+            client.send(
+                    ProxyHarness.request("order", "/api/2", "two")
+                            + ProxyHarness.request("lookup", "/api/3", ""));
             split.reply("200 OK", "1");
-            assertEquals(caller.read().body(), "1");
-            Received second = world.call();
+            assertEquals(client.read().body(), "1");
+            Received second = harness.nextRequest();
             assertEquals(second.body(), "two");
             second.reply("200 OK", "2");
-            assertEquals(caller.read().body(), "2");
-            world.call().reply("200 OK", "3");
-            assertEquals(caller.read().body(), "3");
+            assertEquals(client.read().body(), "2");
+            harness.nextRequest().reply("200 OK", "3");
+            assertEquals(client.read().body(), "3");
         }
     }
 
     @Test
     public void afterARefusedConnectionAnotherEndpointIsTried() throws Exception {
-        try (World world = new World(2).start();
-                Caller caller = world.caller()) {
-            world.nodes.get(0).close();
+        try (ProxyHarness harness = new ProxyHarness(2).start();
+                Client client = harness.client()) {
+            harness.nodes.get(0).close();
             for (int i = 0; i < 8; i++) {
-                caller.send(World.request("order", "/api", "x"));
-                world.call().reply("200 OK", "ok");
-                assertEquals(caller.read().body(), "ok");
+                client.send(ProxyHarness.request("order", "/api", "x"));
+                harness.nextRequest().reply("200 OK", "ok");
+                assertEquals(client.read().body(), "ok");
             }
         }
     }
 
     @Test
     public void aRequestThatMayHaveRunIsNotRetried() throws Exception {
-        try (World world = new World(2).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            world.call().reset();
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            assertTrue(world.calls.isEmpty());
+        try (ProxyHarness harness = new ProxyHarness(2).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            harness.nextRequest().reset();
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
     @Test
     public void aRequestThatNeverRanIsRejectedAsUnavailable() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            world.call().reply("503 Full", "", "Srv-Declined: 1");
-            assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            harness.nextRequest().reply("503 Full", "", "Srv-Declined: 1");
+            assertEquals(client.read().first(), "HTTP/1.1 503 Service Unavailable");
         }
     }
 
     @Test
     public void aBodyThatEndsWithItsConnectionIsComplete() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("lookup", "/api", ""));
-            Received call = world.call();
-            call.raw("HTTP/1.1 200 OK\r\n\r\nto the end");
-            call.socket().close();
-            assertEquals(caller.read().body(), "to the end");
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("lookup", "/api", ""));
+            Received request = harness.nextRequest();
+            request.raw("HTTP/1.1 200 OK\r\n\r\nto the end");
+            request.socket().close();
+            assertEquals(client.read().body(), "to the end");
         }
     }
 
@@ -112,84 +114,85 @@
      */
     @Test
     public void aConnectionThatItsEndpointClosedIsNotReused() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            Received first = world.call();
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received first = harness.nextRequest();
             first.reply("200 OK", "1", "Connection: close");
-            assertEquals(caller.read().body(), "1");
-            caller.send(World.request("order", "/api", "y"));
-            Received second = world.call();
+            assertEquals(client.read().body(), "1");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            Received second = harness.nextRequest();
             assertNotEquals(second.socket().getPort(), first.socket().getPort());
             second.reply("200 OK", "2");
-            assertEquals(caller.read().body(), "2");
+            assertEquals(client.read().body(), "2");
         }
     }
 
     @Test
     public void aClientThatDisconnectsEndsTheAttempt() throws Exception {
-        try (World world = new World(1).start()) {
-            Received call;
-            try (Caller caller = world.caller()) {
-                caller.send(World.request("lookup", "/stays-for-test", ""));
-                call = world.call();
+        try (ProxyHarness harness = new ProxyHarness(1).start()) {
+            Received request;
+            try (Client client = harness.client()) {
+                client.send(ProxyHarness.request("lookup", "/stays-for-test", ""));
+                request = harness.nextRequest();
             }
-            call.awaitEnd();
+            request.awaitEnd();
         }
     }
 
     @Test
     public void aRequestIsAnsweredAtItsDeadlineThoughItsEndpointIsSilent() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/stays-for-test", "x").replace("30000", "2000"));
-            Received call = world.call();
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            call.awaitEnd();
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request("order", "/stays-for-test", "x").replace("30000", "2000"));
+            Received request = harness.nextRequest();
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            request.awaitEnd();
         }
     }
 
     @Test
     public void anUnreadableAnswerFailsOnlyThatAttempt() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            world.call().raw("\u0001\u0002 what\r\n\r\n");
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            caller.send(World.request("order", "/api", "y"));
-            world.call().reply("200 OK", "fine");
-            assertEquals(caller.read().body(), "fine");
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            harness.nextRequest().raw("\u0001\u0002 what\r\n\r\n");
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            harness.nextRequest().reply("200 OK", "fine");
+            assertEquals(client.read().body(), "fine");
         }
     }
 
     /** After an outage of discovery the proxy must not go on with an old list for good. */
     @Test
     public void aLostWatchIsReopenedFromTheCurrentVersion() throws Exception {
-        try (World world = new World(1).start()) {
-            Received watch = World.await(world.lookups);
+        try (ProxyHarness harness = new ProxyHarness(1).start()) {
+            Received watch = ProxyHarness.await(harness.lookups);
             assertEquals(watch.first(), "GET /catalog/members?follow=1&since=0 HTTP/1.1");
-            watch.raw(World.STREAM);
+            watch.raw(ProxyHarness.STREAM);
             String list =
                     "{\"version\":7,\"full\":true,\"servers\":["
-                            + world.entries("in_service")
+                            + harness.entries("in_service")
                             + "]}\n";
             watch.chunk(list.substring(0, 30));
             watch.chunk(list.substring(30) + "\n");
             watch.reset();
-            Received again = World.await(world.lookups);
+            Received again = ProxyHarness.await(harness.lookups);
             assertEquals(again.first(), "GET /catalog/members?follow=1&since=7 HTTP/1.1");
-            again.raw(World.STREAM);
+            again.raw(ProxyHarness.STREAM);
             again.chunk("no JSON\n");
-            assertEquals(World.await(world.lookups).first(), again.first());
+            assertEquals(ProxyHarness.await(harness.lookups).first(), again.first());
         }
     }
 
     /** With pushed lists the balancer requests none, so the proxy must open the watch by itself. */
     @Test
     public void withPushedListsTheWatchIsOpenFromTheStart() throws Exception {
-        try (World world = new World(1).with("\"ask\"", "\"push\"").start()) {
+        try (ProxyHarness harness = new ProxyHarness(1).with("\"ask\"", "\"push\"").start()) {
             for (int i = 0; i < 3; i++) {
-                Received watch = World.await(world.lookups);
+                Received watch = ProxyHarness.await(harness.lookups);
                 assertEquals(watch.first(), "GET /catalog/members?follow=1&since=0 HTTP/1.1");
                 watch.reset();
             }
@@ -202,27 +205,27 @@
      */
     @Test
     public void theWatchMovesToTheNewDiscoveryAddressWithoutAGap() throws Exception {
-        try (World world = new World(1).start()) {
-            Received old = World.await(world.lookups);
-            old.raw(World.STREAM);
+        try (ProxyHarness harness = new ProxyHarness(1).start()) {
+            Received old = ProxyHarness.await(harness.lookups);
+            old.raw(ProxyHarness.STREAM);
             old.chunk(
                     "{\"version\":7,\"full\":true,\"servers\":["
-                            + world.entries("in_service")
+                            + harness.entries("in_service")
                             + "]}\n");
-            world.reload("{");
-            world.awaitLog("configuration.rejected");
-            world.discovery = world.new Peer(world.lookups);
-            world.reload(world.configuration());
-            Received watch = World.await(world.lookups);
-            assertEquals(watch.socket().getLocalPort(), world.discovery.server.getLocalPort());
+            harness.reload("{");
+            harness.awaitLog("configuration.rejected");
+            harness.discovery = harness.new Peer(harness.lookups);
+            harness.reload(harness.configuration());
+            Received watch = ProxyHarness.await(harness.lookups);
+            assertEquals(watch.socket().getLocalPort(), harness.discovery.server.getLocalPort());
             old.chunk("{\"version\":8,\"full\":false,\"servers\":[]}\n");
-            watch.raw(World.STREAM);
+            watch.raw(ProxyHarness.STREAM);
             watch.chunk("{\"version\":9,\"full\":false,\"servers\":[]}\n");
             old.awaitEnd();
             watch.reset();
-            Received again = World.await(world.lookups);
+            Received again = ProxyHarness.await(harness.lookups);
             assertEquals(again.first(), "GET /catalog/members?follow=1&since=9 HTTP/1.1");
-            assertEquals(again.socket().getLocalPort(), world.discovery.server.getLocalPort());
+            assertEquals(again.socket().getLocalPort(), harness.discovery.server.getLocalPort());
         }
     }
 
@@ -231,72 +234,79 @@
         return new Object[][] {
             {"nonsense\r\n\r\n", "400"},
             {"GET /api HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
-            {World.request("unheard-of", "/api", ""), "400"},
-            {World.request("order", "/api", "x", "Content-Length: 2"), "400"},
-            {World.request("order", "/api", "x", "Content-Length: 1"), "400"},
-            {World.request("order", "/api", "x", "Transfer-Encoding: chunked"), "400"},
-            {World.request("order", "/api", "x").replace("30000", "soon"), "400"},
-            {World.request("order", "/api", "x").replace("30000", "-5"), "400"},
-            {World.request("order", "/api", "x").replace("30000", "0"), "400"},
-            {World.request("order", "/api", "x").replace("30000", "999999999999999999999"), "400"},
-            {World.request("order", "/api", "x").replace("POST", "GET"), "400"},
-            {World.request("order", "/api", "x", "Idempotency-Key: k"), "400"},
-            {World.request("booking", "/api", "x"), "400"},
-            {World.request("lookup", "/api", "x", "Content-Length: 1"), "400"},
-            {World.request("order", "/api", "").replace("Length: 0", "Length: 67108865"), "413"},
-            {World.request("lookup", "/api", "", "A: " + "x".repeat(17 * 1024)), "431"},
+            {ProxyHarness.request("unheard-of", "/api", ""), "400"},
+            {ProxyHarness.request("order", "/api", "x", "Content-Length: 2"), "400"},
+            {ProxyHarness.request("order", "/api", "x", "Content-Length: 1"), "400"},
+            {ProxyHarness.request("order", "/api", "x", "Transfer-Encoding: chunked"), "400"},
+            {ProxyHarness.request("order", "/api", "x").replace("30000", "soon"), "400"},
+            {ProxyHarness.request("order", "/api", "x").replace("30000", "-5"), "400"},
+            {ProxyHarness.request("order", "/api", "x").replace("30000", "0"), "400"},
+            {
+                ProxyHarness.request("order", "/api", "x")
+                        .replace("30000", "999999999999999999999"),
+                "400"
+            },
+            {ProxyHarness.request("order", "/api", "x").replace("POST", "GET"), "400"},
+            {ProxyHarness.request("order", "/api", "x", "Idempotency-Key: k"), "400"},
+            {ProxyHarness.request("booking", "/api", "x"), "400"},
+            {ProxyHarness.request("lookup", "/api", "x", "Content-Length: 1"), "400"},
+            {
+                ProxyHarness.request("order", "/api", "").replace("Length: 0", "Length: 67108865"),
+                "413"
+            },
+            {ProxyHarness.request("lookup", "/api", "", "A: " + "x".repeat(17 * 1024)), "431"},
         };
     }
 
     @Test(dataProvider = "badRequests")
     public void aBadRequestGetsItsStatusAndTheConnectionIsClosed(String request, String status)
             throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            Received answer = caller.send(request).read();
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            Received answer = client.send(request).read();
             assertTrue(answer.first().startsWith("HTTP/1.1 " + status), answer.first());
             assertEquals(answer.field("Connection"), "close");
-            assertNull(caller.read());
-            assertTrue(world.calls.isEmpty());
+            assertNull(client.read());
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
     /** A client must not get the answer to another client's request of the same id. */
     @Test
     public void anIdInFlightIsNotAcceptedAgain() throws Exception {
-        try (World world = new World(1).start();
-                Caller first = world.caller();
-                Caller second = world.caller()) {
-            first.send(World.request("order", "/api", "x"));
-            Received call = world.call();
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client first = harness.client();
+                Client second = harness.client()) {
+            first.send(ProxyHarness.request("order", "/api", "x"));
+            Received request = harness.nextRequest();
             assertEquals(
-                    second.send(World.request("order", "/api", "y")).read().first(),
+                    second.send(ProxyHarness.request("order", "/api", "y")).read().first(),
                     "HTTP/1.1 400 Bad Request");
-            call.reply("200 OK", "mine");
+            request.reply("200 OK", "mine");
             assertEquals(first.read().body(), "mine");
-            first.send(World.request("order", "/api", "z"));
-            assertEquals(world.call().body(), "z");
+            first.send(ProxyHarness.request("order", "/api", "z"));
+            assertEquals(harness.nextRequest().body(), "z");
         }
     }
 
     /** Silent connections and half requests must not occupy descriptors for good. */
     @Test
     public void clientsWithoutACompleteRequestAreClosedAndWaitingClientsAreNot() throws Exception {
-        try (World world = new World(1).start();
-                Caller silent = world.caller();
-                Caller half = world.caller();
-                Caller waiting = world.caller();
-                Caller served = world.caller()) {
-            waiting.send(World.request("order", "/api", "x"));
-            Received call = world.call();
-            served.send(World.request("lookup", "/api", "").replace("id-1", "id-2"));
-            world.call().reply("200 OK", "once");
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client silent = harness.client();
+                Client half = harness.client();
+                Client waiting = harness.client();
+                Client served = harness.client()) {
+            waiting.send(ProxyHarness.request("order", "/api", "x"));
+            Received request = harness.nextRequest();
+            served.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "id-2"));
+            harness.nextRequest().reply("200 OK", "once");
             assertEquals(served.read().body(), "once");
             half.send("POST /api HTTP/1.1\r\nReq-");
             assertNull(silent.read());
             assertNull(half.read());
             assertNull(served.read()); // the client sent one request and stayed connected
-            call.reply("200 OK", "late");
+            request.reply("200 OK", "late");
             assertEquals(waiting.read().body(), "late");
         }
     }
@@ -307,24 +317,25 @@
      */
     @Test
     public void atItsConnectionBoundTheProxyClosesSilentClients() throws Exception {
-        List<Caller> silent = new ArrayList<>();
-        try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 16").start();
-                Caller waiting = world.caller()) {
-            waiting.send(World.request("order", "/api", "x"));
-            Received call = world.call();
+        List<Client> silent = new ArrayList<>();
+        try (ProxyHarness harness =
+                        new ProxyHarness(1).with("\"sockets\": 1024", "\"sockets\": 16").start();
+                Client waiting = harness.client()) {
+            waiting.send(ProxyHarness.request("order", "/api", "x"));
+            Received request = harness.nextRequest();
             for (int i = 0; i < 40; i++) {
-                silent.add(world.caller());
+                silent.add(harness.client());
             }
-            try (Caller late = world.caller()) {
-                late.send(World.request("lookup", "/api", "").replace("id-1", "id-2"));
-                world.call().reply("200 OK", "late");
+            try (Client late = harness.client()) {
+                late.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "id-2"));
+                harness.nextRequest().reply("200 OK", "late");
                 assertEquals(late.read().body(), "late");
             }
-            call.reply("200 OK", "kept");
+            request.reply("200 OK", "kept");
             assertEquals(waiting.read().body(), "kept");
         }
-        for (Caller caller : silent) {
-            caller.close();
+        for (Client client : silent) {
+            client.close();
         }
     }
 
@@ -334,27 +345,28 @@
      */
     @Test
     public void atItsConnectionBoundTheProxyClosesIdleClientsBeforeNewOnes() throws Exception {
-        List<Caller> idle = new ArrayList<>();
-        try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 16").start()) {
+        List<Client> idle = new ArrayList<>();
+        try (ProxyHarness harness =
+                new ProxyHarness(1).with("\"sockets\": 1024", "\"sockets\": 16").start()) {
             for (int i = 0; i < 8; i++) {
-                idle.add(world.caller());
-                idle.get(i).send(World.request("lookup", "/api", ""));
-                world.call().reply("200 OK", "once");
+                idle.add(harness.client());
+                idle.get(i).send(ProxyHarness.request("lookup", "/api", ""));
+                harness.nextRequest().reply("200 OK", "once");
                 assertEquals(idle.get(i).read().body(), "once");
             }
-            try (Caller first = world.caller();
-                    Caller second = world.caller()) {
+            try (Client first = harness.client();
+                    Client second = harness.client()) {
                 assertNull(idle.get(0).read());
                 assertNull(idle.get(1).read());
-                for (Caller caller : List.of(first, second)) {
-                    caller.send(World.request("lookup", "/api", ""));
-                    world.call().reply("200 OK", "new");
-                    assertEquals(caller.read().body(), "new");
+                for (Client client : List.of(first, second)) {
+                    client.send(ProxyHarness.request("lookup", "/api", ""));
+                    harness.nextRequest().reply("200 OK", "new");
+                    assertEquals(client.read().body(), "new");
                 }
             }
         }
-        for (Caller caller : idle) {
-            caller.close();
+        for (Client client : idle) {
+            client.close();
         }
     }
 
@@ -378,35 +390,35 @@
 
     @Test(dataProvider = "malformedAnswers")
     public void aMalformedAnswerFailsAtOnceAndIsNeverForwarded(String answer) throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            Received malformed = world.call();
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received malformed = harness.nextRequest();
             malformed.raw(answer);
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            caller.send(World.request("order", "/api", "y"));
-            Received next = world.call();
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            Received next = harness.nextRequest();
             assertNotEquals(next.socket().getPort(), malformed.socket().getPort());
             next.reply("200 OK", "fine");
-            assertEquals(caller.read().body(), "fine");
+            assertEquals(client.read().body(), "fine");
         }
     }
 
     /** Bytes left over from one answer must not be mistaken for the next answer. */
     @Test
     public void bytesAfterACompleteAnswerAreDiscarded() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            Received first = world.call();
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received first = harness.nextRequest();
             String one = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
             first.raw("HTTP/1.1 103 Early Hints\r\n\r\n" + one + one);
-            assertEquals(caller.read().body(), "one");
-            caller.send(World.request("order", "/api", "y"));
-            Received second = world.call();
+            assertEquals(client.read().body(), "one");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            Received second = harness.nextRequest();
             assertNotEquals(second.socket().getPort(), first.socket().getPort());
             second.reply("200 OK", "two");
-            assertEquals(caller.read().body(), "two");
+            assertEquals(client.read().body(), "two");
         }
     }
 
@@ -416,35 +428,35 @@
      */
     @Test
     public void anEndpointWithANewIdGetsItsOwnConnection() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            Received watch = World.await(world.lookups);
-            caller.send(World.request("order", "/api", "x"));
-            Received old = world.call();
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            Received watch = ProxyHarness.await(harness.lookups);
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received old = harness.nextRequest();
             old.reply("200 OK", "old");
-            assertEquals(caller.read().body(), "old");
-            watch.raw(World.STREAM);
+            assertEquals(client.read().body(), "old");
+            watch.raw(ProxyHarness.STREAM);
             watch.chunk(
                     "{\"version\":7,\"full\":false,\"servers\":["
-                            + world.entries("terminated")
+                            + harness.entries("terminated")
                             + ","
-                            + world.entries("in_service").replace("\"n0\"", "\"new\"")
+                            + harness.entries("in_service").replace("\"n0\"", "\"new\"")
                             + "]}\n");
             old.awaitEnd();
-            caller.send(World.request("order", "/api", "y"));
-            Received call = world.call();
-            assertNotEquals(call.socket().getPort(), old.socket().getPort());
-            call.reply("200 OK", "new");
-            assertEquals(caller.read().body(), "new");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            Received request = harness.nextRequest();
+            assertNotEquals(request.socket().getPort(), old.socket().getPort());
+            request.reply("200 OK", "new");
+            assertEquals(client.read().body(), "new");
         }
     }
 
     @Test
     public void theProxyIsHealthyOnceItHasEndpoints() throws Exception {
-        try (World empty = new World(0).start();
-                World full = new World(1).start();
-                Caller early = empty.caller();
-                Caller ready = full.caller()) {
+        try (ProxyHarness empty = new ProxyHarness(0).start();
+                ProxyHarness full = new ProxyHarness(1).start();
+                Client early = empty.client();
+                Client ready = full.client()) {
             String health = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
             assertEquals(early.send(health).read().first(), "HTTP/1.1 503 Service Unavailable");
             assertEquals(ready.send(health).read().first(), "HTTP/1.1 200 OK");
@@ -461,21 +473,21 @@
      */
     @Test
     public void leftoverWarmUpRequestsReachNoEndpoint() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
             SplittableRandom random =
                     new SplittableRandom(Long.parseUnsignedLong("8c1f30d27a5be964", 16));
             String id =
                     "warm-up-"
                             + Long.toHexString(random.nextLong())
                             + Long.toHexString(random.nextLong());
-            caller.send(World.request("lookup", "/warm-up", "").replace("id-1", id));
-            assertEquals(caller.read().first(), "HTTP/1.1 200 OK");
-            caller.send(World.request("lookup", "/api", ""));
-            Received call = world.call();
-            assertEquals(call.field("Req-Id"), "id-1");
-            call.reply("200 OK", "done");
-            assertEquals(caller.read().body(), "done");
+            client.send(ProxyHarness.request("lookup", "/warm-up", "").replace("id-1", id));
+            assertEquals(client.read().first(), "HTTP/1.1 200 OK");
+            client.send(ProxyHarness.request("lookup", "/api", ""));
+            Received request = harness.nextRequest();
+            assertEquals(request.field("Req-Id"), "id-1");
+            request.reply("200 OK", "done");
+            assertEquals(client.read().body(), "done");
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -35,8 +35,8 @@
     final Process process;
     final BufferedReader log;
 
-    ProxyUnderTest(World world, Path state) throws IOException {
-        this(world, state, "", List.of(), List.of());
+    ProxyUnderTest(ProxyHarness harness, Path state) throws IOException {
+        this(harness, state, "", List.of(), List.of());
     }
 
     /**
@@ -45,16 +45,20 @@
      * @param options options of {@code serve}
      */
     ProxyUnderTest(
-            World world, Path state, String before, List<String> machine, List<String> options)
+            ProxyHarness harness,
+            Path state,
+            String before,
+            List<String> machine,
+            List<String> options)
             throws IOException {
-        this(world, state, before, machine, List.of("-jar", JAR), options);
+        this(harness, state, before, machine, List.of("-jar", JAR), options);
     }
 
     /**
      * @param program the arguments by which the virtual machine finds the program to run
      */
     ProxyUnderTest(
-            World world,
+            ProxyHarness harness,
             Path state,
             String before,
             List<String> machine,
@@ -65,7 +69,7 @@
             admin = free.getLocalPort();
         }
         Path file = Files.createTempFile("cedarrudder", ".json");
-        Files.writeString(file, world.configuration());
+        Files.writeString(file, harness.configuration());
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -116,18 +120,18 @@
                 });
     }
 
-    Received call(String method, String path) throws IOException {
-        try (Caller caller = new Caller(admin)) {
-            return caller.send(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n").read();
+    Received request(String method, String path) throws IOException {
+        try (Client client = new Client(admin)) {
+            return client.send(method + " " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n").read();
         }
     }
 
     int status(String method, String path) throws IOException {
-        return Integer.parseInt(call(method, path).first().split(" ")[1]);
+        return Integer.parseInt(request(method, path).first().split(" ")[1]);
     }
 
     long figure(String name) throws IOException {
-        return JsonObject.parse(call("GET", "/-/metrics").body()).integer(name);
+        return JsonObject.parse(request("GET", "/-/metrics").body()).integer(name);
     }
 
     /**
@@ -138,7 +142,7 @@
         Await.until(
                 name + " at " + value,
                 () -> {
-                    Received page = call("GET", "/-/metrics");
+                    Received page = request("GET", "/-/metrics");
                     return page != null && JsonObject.parse(page.body()).integer(name) == value;
                 });
     }
--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -33,40 +33,40 @@
 final class RetainedEndpointList {
 
     private final SiteSettings site;
-    private final EndpointListParser reader;
-    private final EndpointConnectionPool channels;
-    private final AdminOverrides rotation = new AdminOverrides();
-    private final PrequalBalancer module;
+    private final EndpointListParser parser;
+    private final EndpointConnectionPool connections;
+    private final AdminOverrides overrides = new AdminOverrides();
+    private final PrequalBalancer balancer;
 
     RetainedEndpointList(SiteSettings site) throws Exception {
         this.site = site;
-        reader = new EndpointListParser(site, () -> 1L << 40, () -> 1_790_000_000_000L);
+        parser = new EndpointListParser(site, () -> 1L << 40, () -> 1_790_000_000_000L);
         Actions none =
                 (Actions)
                         java.lang.reflect.Proxy.newProxyInstance(
                                 RetainedEndpointList.class.getClassLoader(),
                                 new Class<?>[] {Actions.class},
                                 (self, method, of) -> null);
-        module = new PrequalBalancer(site.module(), new SplittableRandom(1), none);
+        balancer = new PrequalBalancer(site.module(), new SplittableRandom(1), none);
         Logger log = new Logger(line -> true);
         ProxyEventLoop loop = new ProxyEventLoop(log);
-        RequestMetrics figures = new RequestMetrics(site.module().classes().size());
-        RequestForwarder<HttpMessage, HttpMessage> driver =
+        RequestMetrics metrics = new RequestMetrics(site.module().classes().size());
+        RequestForwarder<HttpMessage, HttpMessage> forwarder =
                 new RequestForwarder<>(
-                        actions -> module,
+                        actions -> balancer,
                         site.module().limits().maxAttempts(),
                         loop,
                         log,
                         null,
-                        figures);
-        channels =
+                        metrics);
+        connections =
                 new EndpointConnectionPool(
                         loop,
-                        driver,
+                        forwarder,
                         site,
                         EndpointLimits.DEFAULT,
                         EndpointLimits.DEFAULT.bounds(1024, 512),
-                        figures,
+                        metrics,
                         new BufferAccount(BufferAccount.MAX));
     }
 
@@ -129,15 +129,15 @@
             gathered.write(text.charAt(i));
         }
         JsonObject json = JsonObject.parse(text);
-        EndpointList result = reader.read(json);
-        channels.onEndpoints(result);
+        EndpointList result = parser.read(json);
+        connections.onEndpoints(result);
         List<NamedEndpoint> named =
                 result.nodes().stream()
                         .map(n -> new NamedEndpoint(n.name(), n.endpoint()))
                         .toList();
-        var shown = rotation.updateListed(EndpointListKind.FULL, named);
+        var shown = overrides.updateListed(EndpointListKind.FULL, named);
         parsed = List.of(gathered, text, json, json.list("servers", true), result);
-        module.onEndpoints(1L << 40, EndpointListKind.FULL, shown);
+        balancer.onEndpoints(1L << 40, EndpointListKind.FULL, shown);
     }
 
     private static Object field(Object of, String name) throws Exception {
@@ -148,12 +148,12 @@
 
     List<Object> roots() throws Exception {
         return List.of(
-                field(reader, "numbers"),
-                field(reader, "starts"),
-                field(reader, "names"),
-                field(channels, "endpoints"),
-                rotation,
-                module);
+                field(parser, "numbers"),
+                field(parser, "starts"),
+                field(parser, "names"),
+                field(connections, "endpoints"),
+                overrides,
+                balancer);
     }
 
     static GraphLayout graph(List<Object> roots) {
--- a/daemon/src/test/java/cedarrudder/program/ServeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ServeIT.java
@@ -6,8 +6,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -53,28 +53,28 @@
 
     @Test
     public void acceptedRequestsAreAnsweredBeforeTheProcessEnds() throws Exception {
-        try (World world = new World(1)) {
-            Process process = serve(world.configuration());
+        try (ProxyHarness harness = new ProxyHarness(1)) {
+            Process process = serve(harness.configuration());
             BufferedReader lines =
                     new BufferedReader(
                             new InputStreamReader(
                                     process.getInputStream(), StandardCharsets.UTF_8));
             awaitLine(process, lines, "proxy.started");
-            try (Caller caller = world.caller();
-                    Caller idle = world.caller();
-                    Caller late = world.caller()) {
-                serveOne(world, idle, "before");
-                caller.send(World.request("order", "/api", "x"));
-                Received taken = world.call();
+            try (Client client = harness.client();
+                    Client idle = harness.client();
+                    Client late = harness.client()) {
+                serveOne(harness, idle, "before");
+                client.send(ProxyHarness.request("order", "/api", "x"));
+                Received accepted = harness.nextRequest();
                 ProxyUnderTest.signal(process, "TERM");
                 awaitLine(process, lines, "proxy.shutdown_started");
                 // Where this proxy is the only one, clients have no other proxy until it is
                 // restarted.
-                serveOne(world, idle, "still");
-                serveOne(world, late, "late");
+                serveOne(harness, idle, "still");
+                serveOne(harness, late, "late");
                 assertEquals(idle.read(), null);
-                taken.reply("200 OK", "kept");
-                Received answer = caller.read();
+                accepted.reply("200 OK", "kept");
+                Received answer = client.read();
                 assertEquals(answer.body(), "kept");
                 assertEquals(answer.field("Connection"), "close");
             }
@@ -82,10 +82,11 @@
         }
     }
 
-    private static void serveOne(World world, Caller caller, String text) throws Exception {
-        caller.send(World.request("lookup", "/api", "").replace("id-1", text));
-        world.call().reply("200 OK", text);
-        assertEquals(caller.read().body(), text);
+    private static void serveOne(ProxyHarness harness, Client client, String text)
+            throws Exception {
+        client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", text));
+        harness.nextRequest().reply("200 OK", text);
+        assertEquals(client.read().body(), text);
     }
 
     /**
@@ -94,30 +95,30 @@
      */
     @Test
     public void sighupReloadsTheConfigurationWhileServing() throws Exception {
-        try (World world = new World(1)) {
+        try (ProxyHarness harness = new ProxyHarness(1)) {
             Path file = Files.createTempFile("cedarrudder", ".json");
-            Files.writeString(file, world.configuration());
+            Files.writeString(file, harness.configuration());
             Process process = serve(file);
             BufferedReader lines =
                     new BufferedReader(
                             new InputStreamReader(
                                     process.getInputStream(), StandardCharsets.UTF_8));
             awaitLine(process, lines, "proxy.started");
-            try (Caller caller = world.caller()) {
-                caller.send(World.request("order", "/api", "x"));
-                Received taken = world.call();
+            try (Client client = harness.client()) {
+                client.send(ProxyHarness.request("order", "/api", "x"));
+                Received accepted = harness.nextRequest();
                 Files.writeString(file, "{");
                 ProxyUnderTest.signal(process, "HUP");
                 awaitLine(process, lines, "configuration.rejected");
-                world.discovery = world.new Peer(world.lookups);
-                Files.writeString(file, world.configuration());
+                harness.discovery = harness.new Peer(harness.lookups);
+                Files.writeString(file, harness.configuration());
                 ProxyUnderTest.signal(process, "HUP");
-                while (World.await(world.lookups).socket().getLocalPort()
-                        != world.discovery.server.getLocalPort()) {
+                while (ProxyHarness.await(harness.lookups).socket().getLocalPort()
+                        != harness.discovery.server.getLocalPort()) {
                     // a watch at the old address
                 }
-                taken.reply("200 OK", "kept");
-                assertEquals(caller.read().body(), "kept");
+                accepted.reply("200 OK", "kept");
+                assertEquals(client.read().body(), "kept");
                 ProxyUnderTest.signal(process, "HUP");
                 process.destroy();
             }
@@ -128,9 +129,9 @@
     @Test
     public void sighupReloadsTheOperatorsFileAndAnInvalidOneChangesNothing() throws Exception {
         Path operator = Files.createTempFile("operator", ".toml");
-        try (World world = new World(1)) {
+        try (ProxyHarness harness = new ProxyHarness(1)) {
             Path file = Files.createTempFile("cedarrudder", ".json");
-            Files.writeString(file, world.configuration());
+            Files.writeString(file, harness.configuration());
             Files.writeString(operator, "[callers]\nbody_bytes = 3\n[log]\nformat = \"json\"\n");
             Process process =
                     serve(file, "--operator", operator.toString(), "--log-level", "debug");
@@ -138,8 +139,8 @@
                     new BufferedReader(
                             new InputStreamReader(
                                     process.getInputStream(), StandardCharsets.UTF_8));
-            String said = awaitLine(process, lines, "proxy.started");
-            assertEquals(event(said, "proxy.started").text("name", null), "example");
+            String output = awaitLine(process, lines, "proxy.started");
+            assertEquals(event(output, "proxy.started").text("name", null), "example");
             Files.writeString(
                     operator, "[callers]\nbody_bytes = 300\nidle = 1\n[log]\nformat = \"xml\"\n");
             ProxyUnderTest.signal(process, "HUP");
@@ -151,11 +152,11 @@
             assertTrue(
                     kept.text("first", null)
                             .contains(".toml:3: callers.idle: found an unknown key"));
-            assertEquals(answer(world, "four"), "HTTP/1.1 413 Content Too Large");
+            assertEquals(answer(harness, "four"), "HTTP/1.1 413 Content Too Large");
             Files.writeString(operator, "[callers]\nbody_bytes = 300\n");
             ProxyUnderTest.signal(process, "HUP");
             awaitLine(process, lines, "operator_file.reloaded");
-            assertEquals(answer(world, "four"), "HTTP/1.1 200 OK");
+            assertEquals(answer(harness, "four"), "HTTP/1.1 200 OK");
             ProxyUnderTest.signal(process, "TERM");
             awaitLine(process, lines, "INFO proxy.shutdown_started");
             assertEquals(Await.end("the end of the process", process), TERMINATED);
@@ -165,8 +166,8 @@
     }
 
     /** Returns the last line of a log whose lines must all be JSON; it must have this event. */
-    private static JsonObject event(String said, String event) {
-        List<JsonObject> entries = said.lines().map(JsonObject::parse).toList();
+    private static JsonObject event(String output, String event) {
+        List<JsonObject> entries = output.lines().map(JsonObject::parse).toList();
         JsonObject last = entries.get(entries.size() - 1);
         assertEquals(last.text("event", null), event);
         return last;
@@ -176,13 +177,13 @@
      * Returns the first line of the answer to a request with this body; an endpoint answers the
      * requests that reach it.
      */
-    private static String answer(World world, String body) throws Exception {
-        try (Caller caller = world.caller()) {
+    private static String answer(ProxyHarness harness, String body) throws Exception {
+        try (Client client = harness.client()) {
             Thread node =
                     new Thread(
                             () -> {
                                 try {
-                                    world.call().reply("200 OK", "done");
+                                    harness.nextRequest().reply("200 OK", "done");
                                 } catch (InterruptedException | IOException e) {
                                     Thread.currentThread()
                                             .interrupt(); // the request was rejected before it
@@ -191,8 +192,8 @@
                                 }
                             });
             node.start();
-            caller.send(World.request("order", "/api", body));
-            String first = caller.read().first();
+            client.send(ProxyHarness.request("order", "/api", body));
+            String first = client.read().first();
             node.interrupt();
             Await.end("the end of the endpoint's thread", node);
             return first;
@@ -201,20 +202,20 @@
 
     @Test
     public void aFailedStartIsExplainedInOneLine() throws Exception {
-        try (World world = new World(1)) {
-            String taken =
-                    world.configuration()
+        try (ProxyHarness harness = new ProxyHarness(1)) {
+            String accepted =
+                    harness.configuration()
                             .replace(
-                                    ":" + world.port,
-                                    ":" + world.nodes.get(0).server.getLocalPort());
-            for (String configuration : new String[] {"{", "{}", taken}) {
+                                    ":" + harness.port,
+                                    ":" + harness.nodes.get(0).server.getLocalPort());
+            for (String configuration : new String[] {"{", "{}", accepted}) {
                 Process process = serve(configuration);
-                String said = Await.all("the end of the process", process);
+                String output = Await.all("the end of the process", process);
                 // Short of cores the event loop also logs its delay.
                 List<String> lines =
-                        said.lines().filter(line -> !line.contains(" loop.delayed ")).toList();
-                assertEquals(lines.size(), 1, said);
-                assertTrue(lines.get(0).startsWith("cedarrudder: "), said);
+                        output.lines().filter(line -> !line.contains(" loop.delayed ")).toList();
+                assertEquals(lines.size(), 1, output);
+                assertTrue(lines.get(0).startsWith("cedarrudder: "), output);
                 assertNotEquals(Await.end("the end of the process", process), 0);
             }
         }
@@ -226,8 +227,8 @@
         Path loaded = Files.createTempFile("loaded", ".log");
         List<String> watched = List.of("-Xlog:class+load:file=" + loaded);
         Path state = Files.createTempDirectory("serve");
-        try (World world = new World(1);
-                ProxyUnderTest proxy = new ProxyUnderTest(world, state, "", watched, List.of())) {
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest proxy = new ProxyUnderTest(harness, state, "", watched, List.of())) {
             proxy.awaitLine("proxy.started");
         }
         String classes = Files.readString(loaded);
--- a/daemon/src/test/java/cedarrudder/program/ShortageIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ShortageIT.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -27,7 +27,7 @@
      * The private memory that two processes may use, in MiB: of 192, the rest is for files that
      * both map.
      */
-    private static final long MAX_OF_BOTH = 172;
+    private static final long MAX_PRIVATE_MIB_OF_BOTH = 172;
 
     /**
      * The number of answers that are not read. For each, over 16 KiB wait for the client in a
@@ -39,25 +39,25 @@
         return Files.createTempDirectory("shortage");
     }
 
-    private static void serveOne(World world, String id) throws Exception {
-        try (Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x").replace("id-1", id));
-            assertEquals(caller.read().body(), "done", id);
+    private static void serveOne(ProxyHarness harness, String id) throws Exception {
+        try (Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x").replace("id-1", id));
+            assertEquals(client.read().body(), "done", id);
         }
     }
 
     /** Returns an operator's file with which no log line is dropped for exceeding the rate. */
-    private static Path operatorFileOfAFullLog() throws IOException {
+    private static Path operatorFileWithoutLogRateLimit() throws IOException {
         Path operator = Files.createTempFile("operator", ".toml");
         Files.writeString(operator, "[log]\nlines_per_s = 10000\n");
         return operator;
     }
 
     /** Makes the proxy log this many lines. */
-    private static void complain(World world, int times) throws IOException {
+    private static void causeLogLines(ProxyHarness harness, int times) throws IOException {
         for (int i = 0; i < times; i++) {
-            try (Caller caller = world.caller()) {
-                caller.send("nonsense " + "x".repeat(200) + "\r\n\r\n").read();
+            try (Client client = harness.client()) {
+                client.send("nonsense " + "x".repeat(200) + "\r\n\r\n").read();
             }
         }
     }
@@ -65,19 +65,19 @@
     /** The event loop, and with it all requests, must not block because nobody reads the log. */
     @Test
     public void requestsAreServedWhileNobodyReadsTheLog() throws Exception {
-        Path operator = operatorFileOfAFullLog();
-        try (World world = new World(1);
+        Path operator = operatorFileWithoutLogRateLimit();
+        try (ProxyHarness harness = new ProxyHarness(1);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 folder(),
                                 "",
                                 List.of(),
                                 List.of("--operator", operator.toString()))) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             proxy.awaitReady();
-            complain(world, 2000);
-            serveOne(world, "after");
+            causeLogLines(harness, 2000);
+            serveOne(harness, "after");
             proxy.signal("TERM");
             // The rest of the log is read only now; the process ends whether the log is read or
             // not.
@@ -89,14 +89,14 @@
     /** The proxy must not end when the reader of its log does. */
     @Test
     public void requestsAreServedAfterTheReaderOfTheLogHasEnded() throws Exception {
-        try (World world = new World(1);
-                ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest proxy = new ProxyUnderTest(harness, folder())) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             proxy.awaitReady();
             proxy.log.close();
             proxy.process.getInputStream().close();
-            complain(world, 100);
-            serveOne(world, "after");
+            causeLogLines(harness, 100);
+            serveOne(harness, "after");
             proxy.signal("TERM");
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
@@ -108,19 +108,21 @@
      */
     @Test
     public void withoutDescriptorsRequestsAreRejectedAndServedAgainAfterwards() throws Exception {
-        try (World world = new World(3).with("\"sockets\": 1024", "\"sockets\": 4096");
+        try (ProxyHarness harness =
+                        new ProxyHarness(3).with("\"sockets\": 1024", "\"sockets\": 4096");
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world, folder(), "ulimit -n 90;", List.of(), List.of())) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+                                harness, folder(), "ulimit -n 90;", List.of(), List.of())) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             proxy.awaitLine("proxy.started");
-            serveOne(world, "before");
+            serveOne(harness, "before");
             int before = proxy.descriptors();
-            List<Caller> crowd = new ArrayList<>();
+            List<Client> crowd = new ArrayList<>();
             for (int i = 0; i < 150; i++) {
-                Caller caller = world.caller();
-                crowd.add(caller);
-                caller.send(World.request("order", "/api", "x").replace("id-1", "crowd-" + i));
+                Client client = harness.client();
+                crowd.add(client);
+                client.send(
+                        ProxyHarness.request("order", "/api", "x").replace("id-1", "crowd-" + i));
             }
             int served = 0;
             int refused = 0;
@@ -130,12 +132,12 @@
                 refused += answer.first().contains(" 503 ") ? 1 : 0;
             }
             assertEquals(served + refused, 20, "each accepted request has exactly one answer");
-            for (Caller caller : crowd) {
-                caller.close();
+            for (Client client : crowd) {
+                client.close();
             }
             proxy.awaitFigure("open_requests", 0);
             for (int i = 0; i < 200; i++) {
-                serveOne(world, "after-" + i);
+                serveOne(harness, "after-" + i);
             }
             assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 200);
             for (int i = 0; proxy.descriptors() > before + 12; i++) {
@@ -144,8 +146,9 @@
                 Thread.sleep(1);
             }
             proxy.signal("TERM");
-            String said = proxy.rest();
-            assertFalse(said.contains("balancer.failed") || said.contains("task_failed"), said);
+            String output = proxy.rest();
+            assertFalse(
+                    output.contains("balancer.failed") || output.contains("task_failed"), output);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
@@ -157,34 +160,36 @@
      */
     @Test
     public void withoutDirectMemorySomeAnswersAreCutOffAndLaterOnesAreServed() throws Exception {
-        try (World world = new World(1);
+        try (ProxyHarness harness = new ProxyHarness(1);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 folder(),
                                 "",
                                 List.of("-XX:MaxDirectMemorySize=2m", "-Xmx48m"),
                                 List.of())) {
             proxy.awaitLine("proxy.started");
             byte[] body = new byte[8 * 1024 * 1024];
-            Nodes.play(
-                    world,
-                    call -> {
-                        call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
-                        call.socket().getOutputStream().write(body);
+            TestEndpoints.handleRequests(
+                    harness,
+                    request -> {
+                        request.raw(
+                                "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
+                        request.socket().getOutputStream().write(body);
                     });
-            List<Caller> slow = new ArrayList<>();
+            List<Client> slow = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                Caller caller = world.caller();
-                slow.add(caller);
-                caller.send(World.request("lookup", "/api", "").replace("id-1", "slow-" + i));
+                Client client = harness.client();
+                slow.add(client);
+                client.send(
+                        ProxyHarness.request("lookup", "/api", "").replace("id-1", "slow-" + i));
             }
             int whole = 0;
-            for (Caller caller : slow) {
-                try (caller) {
-                    Received head = caller.readHead();
+            for (Client client : slow) {
+                try (client) {
+                    Received head = client.readHead();
                     if (head != null && head.first().contains(" 200 ")) {
-                        int length = caller.in().readNBytes(body.length).length;
+                        int length = client.in().readNBytes(body.length).length;
                         whole += length == body.length ? 1 : 0;
                     }
                 } catch (IOException e) {
@@ -194,15 +199,15 @@
             assertTrue(whole > 0, "no answer was complete");
             proxy.awaitFigure("open_requests", 0);
             proxy.awaitFigure("held_bytes", 0);
-            try (Caller caller = world.caller()) {
-                caller.send(World.request("lookup", "/api", "").replace("id-1", "after"));
-                assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK");
-                assertEquals(caller.in().readNBytes(body.length).length, body.length);
+            try (Client client = harness.client()) {
+                client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "after"));
+                assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
+                assertEquals(client.in().readNBytes(body.length).length, body.length);
             }
             proxy.signal("TERM");
-            String said = proxy.rest();
-            assertTrue(said.contains("OutOfDirectMemoryError"), said);
-            assertFalse(said.contains("Cannot reserve"), said);
+            String output = proxy.rest();
+            assertTrue(output.contains("OutOfDirectMemoryError"), output);
+            assertFalse(output.contains("Cannot reserve"), output);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
@@ -221,56 +226,59 @@
     @Test
     public void releasedDirectMemoryIsReusedForBuffersOfOtherSizes() throws Exception {
         byte[] body = new byte[8 * 1024 * 1024];
-        Path operator = operatorFileOfAFullLog();
-        try (World world = new World(1);
+        Path operator = operatorFileWithoutLogRateLimit();
+        try (ProxyHarness harness = new ProxyHarness(1);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 folder(),
                                 "",
                                 List.of("-XX:MaxDirectMemorySize=2m", "-Xmx48m"),
                                 List.of("--operator", operator.toString()))) {
             proxy.awaitLine("proxy.started");
-            Nodes.play(
-                    world,
-                    call -> {
-                        boolean chunked = call.field("Req-Id").startsWith("chunked");
+            TestEndpoints.handleRequests(
+                    harness,
+                    request -> {
+                        boolean chunked = request.field("Req-Id").startsWith("chunked");
                         if (chunked) {
-                            call.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                            call.raw(Integer.toHexString(body.length) + "\r\n");
+                            request.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            request.raw(Integer.toHexString(body.length) + "\r\n");
                         } else {
-                            call.raw(
+                            request.raw(
                                     "HTTP/1.1 200 OK\r\nContent-Length: "
                                             + body.length
                                             + "\r\n\r\n");
                         }
-                        call.socket().getOutputStream().write(body);
+                        request.socket().getOutputStream().write(body);
                         if (chunked) {
-                            call.raw("\r\n0\r\n\r\n");
+                            request.raw("\r\n0\r\n\r\n");
                         }
                     });
             for (String kind : List.of("sized-", "chunked-")) {
-                List<Caller> unread = new ArrayList<>();
+                List<Client> unread = new ArrayList<>();
                 for (int i = 0; i < UNREAD_ANSWERS; i++) {
-                    Caller caller = new Caller(world.port, 4096);
-                    unread.add(caller);
-                    caller.send(World.request("lookup", "/api", "").replace("id-1", kind + i));
+                    Client client = new Client(harness.port, 4096);
+                    unread.add(client);
+                    client.send(
+                            ProxyHarness.request("lookup", "/api", "").replace("id-1", kind + i));
                 }
                 proxy.awaitLine("OutOfDirectMemoryError");
-                for (Caller caller : unread) {
-                    caller.close();
+                for (Client client : unread) {
+                    client.close();
                 }
                 proxy.awaitFigure("open_requests", 0);
                 proxy.awaitFigure("held_bytes", 0);
-                complain(world, 1);
+                causeLogLines(harness, 1);
                 proxy.awaitLine(
                         "client.rejected"); // all errors of this kind are logged before this line
             }
             for (int i = 0; i < 20; i++) {
-                try (Caller caller = world.caller()) {
-                    caller.send(World.request("lookup", "/api", "").replace("id-1", "after-" + i));
-                    assertEquals(caller.readHead().first(), "HTTP/1.1 200 OK", "after-" + i);
-                    assertEquals(caller.in().readNBytes(body.length).length, body.length);
+                try (Client client = harness.client()) {
+                    client.send(
+                            ProxyHarness.request("lookup", "/api", "")
+                                    .replace("id-1", "after-" + i));
+                    assertEquals(client.readHead().first(), "HTTP/1.1 200 OK", "after-" + i);
+                    assertEquals(client.in().readNBytes(body.length).length, body.length);
                 }
             }
             proxy.signal("TERM");
@@ -286,13 +294,13 @@
     @Test
     public void withoutAStateFolderOperatorRequestsFailAndClientsAreServed() throws Exception {
         Path none = Files.createTempFile("not-a-folder", "");
-        try (World world = new World(1);
-                ProxyUnderTest proxy = new ProxyUnderTest(world, none)) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest proxy = new ProxyUnderTest(harness, none)) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             proxy.awaitLine("proxy.started");
             assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 503);
             assertEquals(proxy.status("POST", "/-/drain"), 503);
-            serveOne(world, "served");
+            serveOne(harness, "served");
             assertEquals(proxy.figure("out_of_rotation"), 0);
         }
     }
@@ -304,11 +312,11 @@
     @Test
     public void clearingTheStateFolderDuringAnUpgradeEnablesNoEndpoint() throws Exception {
         Path state = folder();
-        try (World world = new World(2);
-                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
+        try (ProxyHarness harness = new ProxyHarness(2);
+                ProxyUnderTest first = new ProxyUnderTest(harness, state)) {
             first.awaitLine("proxy.started");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
-            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest second = new ProxyUnderTest(harness, state)) {
                 first.awaitLine("successor=true");
                 // In one step: if the files were removed one by one, the check that restores them
                 // could run in between.
@@ -337,9 +345,9 @@
     @Test
     public void clearingTheStateFolderBeforeAnUpgradeHidesNeitherProcess() throws Exception {
         Path state = folder();
-        try (World world = new World(2);
-                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
-            Nodes.list(world);
+        try (ProxyHarness harness = new ProxyHarness(2);
+                ProxyUnderTest first = new ProxyUnderTest(harness, state)) {
+            TestEndpoints.serveFullList(harness);
             first.awaitLine("proxy.started");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
             for (boolean whole : new boolean[] {false, true}) {
@@ -352,7 +360,7 @@
                         Files.delete(file);
                     }
                 }
-                try (ProxyUnderTest next = new ProxyUnderTest(world, state)) {
+                try (ProxyUnderTest next = new ProxyUnderTest(harness, state)) {
                     if (!whole) {
                         next.awaitReady();
                     }
@@ -379,32 +387,33 @@
      */
     @Test
     public void openConnectionsRetainNoMemoryOfReceivedBodies() throws Exception {
-        List<Caller> callers = new ArrayList<>();
-        try (World world = new World(1);
+        List<Client> clients = new ArrayList<>();
+        try (ProxyHarness harness = new ProxyHarness(1);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 folder(),
                                 "",
                                 List.of("-XX:+UseSerialGC", "-Xmx24m"),
                                 List.of())) {
             proxy.awaitLine("proxy.started");
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             String body = "x".repeat(60_000);
             for (int i = 0; i < 400; i++) {
-                Caller caller = world.caller();
-                callers.add(caller);
-                caller.send(World.request("order", "/api", body).replace("id-1", "large-" + i));
-                Received answer = caller.read();
+                Client client = harness.client();
+                clients.add(client);
+                client.send(
+                        ProxyHarness.request("order", "/api", body).replace("id-1", "large-" + i));
+                Received answer = client.read();
                 assertEquals(answer == null ? "closed" : answer.body(), "done", "client " + i);
             }
             proxy.signal("TERM");
-            String said = proxy.rest();
-            assertFalse(said.contains("OutOfMemory"), said);
+            String output = proxy.rest();
+            assertFalse(output.contains("OutOfMemory"), output);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         } finally {
-            for (Caller caller : callers) {
-                caller.close();
+            for (Client client : clients) {
+                client.close();
             }
         }
     }
@@ -415,34 +424,34 @@
      */
     @Test
     public void headsOfManyFieldsAreRejectedAndOtherRequestsAreServed() throws Exception {
-        List<Caller> callers = new ArrayList<>();
-        try (World world = new World(1);
+        List<Client> clients = new ArrayList<>();
+        try (ProxyHarness harness = new ProxyHarness(1);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 folder(),
                                 "",
                                 List.of("-XX:+UseSerialGC", "-Xmx24m"),
                                 List.of())) {
             proxy.awaitLine("proxy.started");
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             for (int i = 0; i < 200; i++) {
-                Caller caller = world.caller();
-                callers.add(caller);
-                caller.send(
+                Client client = harness.client();
+                clients.add(client);
+                client.send(
                         "GET /api HTTP/1.1\r\nHost: a\r\n"
                                 + "a:\r\n".repeat(4000)); // the head never ends
             }
-            for (Caller caller : callers) {
-                assertTrue(caller.read().first().contains(" 431 "));
+            for (Client client : clients) {
+                assertTrue(client.read().first().contains(" 431 "));
             }
-            serveOne(world, "other");
+            serveOne(harness, "other");
             proxy.signal("TERM");
-            String said = proxy.rest();
-            assertFalse(said.contains("OutOfMemory"), said);
+            String output = proxy.rest();
+            assertFalse(output.contains("OutOfMemory"), output);
         } finally {
-            for (Caller caller : callers) {
-                caller.close();
+            for (Client client : clients) {
+                client.close();
             }
         }
     }
@@ -453,24 +462,25 @@
      */
     @Test
     public void aFloodOfOperatorConnectionsLeaksNoMemory() throws Exception {
-        try (World world = new World(1);
+        try (ProxyHarness harness = new ProxyHarness(1);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 folder(),
                                 "",
                                 List.of("-XX:+UseSerialGC", "-Xmx16m"),
                                 List.of())) {
             proxy.awaitLine("proxy.started");
             for (int i = 0; i < 25_000; i++) {
-                try (Socket call = new Socket(InetAddress.getLoopbackAddress(), proxy.admin)) {
-                    call.setSoLinger(true, 0);
+                try (Socket connection =
+                        new Socket(InetAddress.getLoopbackAddress(), proxy.admin)) {
+                    connection.setSoLinger(true, 0);
                 }
             }
             assertEquals(proxy.status("GET", "/-/ready"), 200);
             proxy.signal("TERM");
-            String said = proxy.rest();
-            assertFalse(said.contains("OutOfMemory"), said);
+            String output = proxy.rest();
+            assertFalse(output.contains("OutOfMemory"), output);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
@@ -478,24 +488,24 @@
     /** Probes, attempts and clients must not pile up while peers are connected and silent. */
     @Test
     public void silentPeersLeakNoDescriptors() throws Exception {
-        try (World world = new World(2);
-                ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
-            world.probesWait = true;
+        try (ProxyHarness harness = new ProxyHarness(2);
+                ProxyUnderTest proxy = new ProxyUnderTest(harness, folder())) {
+            harness.probesWait = true;
             proxy.awaitLine("proxy.started");
             int before = proxy.descriptors();
-            List<Caller> callers = new ArrayList<>();
+            List<Client> clients = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                Caller caller = world.caller();
-                callers.add(caller);
-                caller.send(
-                        World.request("order", "/stays-for-test", "x")
+                Client client = harness.client();
+                clients.add(client);
+                client.send(
+                        ProxyHarness.request("order", "/stays-for-test", "x")
                                 .replace("id-1", "silent-" + i)
                                 .replace("30000", "300"));
             }
-            for (Caller caller : callers) {
-                String first = caller.read().first();
+            for (Client client : clients) {
+                String first = client.read().first();
                 assertTrue(first.contains(" 502 ") || first.contains(" 503 "), first);
-                caller.close();
+                client.close();
             }
             proxy.awaitFigure("open_requests", 0);
             for (int i = 0; proxy.descriptors() > before + 4; i++) {
@@ -504,12 +514,12 @@
                 Thread.sleep(1);
             }
             assertEquals(
-                    world.calls.stream()
+                    harness.requests.stream()
                             .map(Received::socket)
                             .distinct()
                             .map(Socket::getPort)
                             .count(),
-                    world.calls.size(),
+                    harness.requests.size(),
                     "each attempt had a connection of its own");
         }
     }
@@ -549,28 +559,29 @@
      * Opens clients whose bodies their endpoints don't read, and clients that don't read their
      * answers.
      */
-    private static List<Caller> stuck(World world, int callers, String name) throws Exception {
-        List<Caller> all = new ArrayList<>();
+    private static List<Client> openStalledClients(ProxyHarness harness, int clients, String name)
+            throws Exception {
+        List<Client> all = new ArrayList<>();
         byte[] piece = ("10000\r\n" + "x".repeat(0x10000) + "\r\n").getBytes();
-        for (int i = 0; i < callers; i++) {
-            Caller caller = world.caller();
-            all.add(caller);
+        for (int i = 0; i < clients; i++) {
+            Client client = harness.client();
+            all.add(client);
             if (i % 2 == 0) {
-                caller.send(World.request("lookup", "/api", "").replace("id-1", name + i));
+                client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", name + i));
                 continue;
             }
-            Nodes.daemon(
+            TestEndpoints.daemon(
                     () -> {
-                        caller.send(
-                                World.request(
+                        client.send(
+                                ProxyHarness.request(
                                                 "order",
                                                 "/stays-for-test",
                                                 "",
                                                 "Transfer-Encoding: chunked")
                                         .replace("Content-Length: 0\r\n", "")
-                                        .replace("id-1", name + caller.hashCode()));
+                                        .replace("id-1", name + client.hashCode()));
                         for (int j = 0; j < 400; j++) {
-                            caller.out().write(piece);
+                            client.out().write(piece);
                         }
                     });
         }
@@ -582,32 +593,33 @@
     public void twoProcessesFullOfBodiesStayWithinTheMemoryOfOne() throws Exception {
         Path state = folder();
         byte[] body = new byte[32 * 1024 * 1024];
-        try (World world = new World(8);
-                ProxyUnderTest first = new ProxyUnderTest(world, state, "", machine(), List.of())) {
-            Nodes.list(world);
-            Nodes.play(
-                    world,
-                    call -> {
-                        if (call.first().startsWith("GET")) {
-                            call.raw(
+        try (ProxyHarness harness = new ProxyHarness(8);
+                ProxyUnderTest first =
+                        new ProxyUnderTest(harness, state, "", machine(), List.of())) {
+            TestEndpoints.serveFullList(harness);
+            TestEndpoints.handleRequests(
+                    harness,
+                    request -> {
+                        if (request.first().startsWith("GET")) {
+                            request.raw(
                                     "HTTP/1.1 200 OK\r\nContent-Length: "
                                             + body.length
                                             + "\r\n\r\n");
-                            call.socket().getOutputStream().write(body);
+                            request.socket().getOutputStream().write(body);
                         }
                     });
             first.awaitReady();
-            List<Caller> callers = new ArrayList<>(stuck(world, 480, "first-"));
+            List<Client> clients = new ArrayList<>(openStalledClients(harness, 480, "first-"));
             long alone = max(first, first);
             try (ProxyUnderTest second =
-                    new ProxyUnderTest(world, state, "", machine(), List.of())) {
+                    new ProxyUnderTest(harness, state, "", machine(), List.of())) {
                 second.awaitReady();
-                callers.addAll(stuck(world, 480, "second-"));
+                clients.addAll(openStalledClients(harness, 480, "second-"));
                 long both = max(first, second);
-                assertTrue(both < MAX_OF_BOTH, alone + " MiB alone, " + both + " both");
+                assertTrue(both < MAX_PRIVATE_MIB_OF_BOTH, alone + " MiB alone, " + both + " both");
             }
-            for (Caller caller : callers) {
-                caller.close();
+            for (Client client : clients) {
+                client.close();
             }
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/SoakIT.java
+++ b/daemon/src/test/java/cedarrudder/program/SoakIT.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import cedarrudder.program.World.Caller;
+import cedarrudder.program.ProxyHarness.Client;
 import java.nio.file.Files;
 import java.util.ArrayList;
 import java.util.List;
@@ -54,31 +54,31 @@
 
     private static List<String> restart(long seed) throws Exception {
         Random random = new Random(seed);
-        List<Caller> crowd = new ArrayList<>();
+        List<Client> crowd = new ArrayList<>();
         Map<String, Integer> runs = new ConcurrentHashMap<>();
-        try (World world = new World(3);
+        try (ProxyHarness harness = new ProxyHarness(3);
                 ProxyUnderTest proxy =
-                        new ProxyUnderTest(world, Files.createTempDirectory("soak"))) {
+                        new ProxyUnderTest(harness, Files.createTempDirectory("soak"))) {
             int serviceMillis = random.nextInt(MAX_SERVICE_MILLIS);
-            Nodes.play(
-                    world,
-                    call -> {
-                        runs.merge(call.field("Req-Id"), 1, Integer::sum);
+            TestEndpoints.handleRequests(
+                    harness,
+                    request -> {
+                        runs.merge(request.field("Req-Id"), 1, Integer::sum);
                         Thread.sleep(serviceMillis);
-                        call.reply("200 OK", "done");
+                        request.reply("200 OK", "done");
                     });
-            Nodes.list(world);
+            TestEndpoints.serveFullList(harness);
             proxy.awaitReady();
             for (int i = random.nextInt(3) == 0 ? CROWD : 0; i > 0; i--) {
-                crowd.add(world.caller());
+                crowd.add(harness.client());
             }
-            PersistentCallers callers = new PersistentCallers(world, random);
-            start(callers, "old-", 8 + random.nextInt(24), 0);
-            callers.awaitServed(SERVED_BEFORE);
+            PersistentClients clients = new PersistentClients(harness, random);
+            start(clients, "old-", 8 + random.nextInt(24), 0);
+            clients.awaitServed(SERVED_BEFORE);
             hangUp(proxy, random);
             long signalledAt = System.nanoTime();
             proxy.signal("TERM");
-            start(callers, "new-", 1 + random.nextInt(24), 200 + random.nextInt(100));
+            start(clients, "new-", 1 + random.nextInt(24), 200 + random.nextInt(100));
             hangUp(proxy, random);
             long sinceSignal = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalledAt);
             boolean ended =
@@ -86,24 +86,24 @@
             if (!ended) {
                 proxy.kill();
             }
-            callers.awaitEnds();
-            System.out.println("SoakIT: seed " + seed + ", ended " + ended + ", " + callers);
-            List<String> problems = problems(seed, proxy, callers, runs, ended);
+            clients.awaitEnds();
+            System.out.println("SoakIT: seed " + seed + ", ended " + ended + ", " + clients);
+            List<String> problems = problems(seed, proxy, clients, runs, ended);
             if (!problems.isEmpty()) {
                 System.out.println(String.join("\n", problems) + "\n" + proxy.rest());
             }
             return problems;
         } finally {
-            for (Caller caller : crowd) {
-                caller.close();
+            for (Client client : crowd) {
+                client.close();
             }
         }
     }
 
-    private static void start(PersistentCallers callers, String name, int count, int withinMillis)
+    private static void start(PersistentClients clients, String name, int count, int withinMillis)
             throws InterruptedException {
         for (int i = 0; i < count; i++) {
-            callers.start(name + i + "-");
+            clients.start(name + i + "-");
             Thread.sleep(withinMillis / count);
         }
     }
@@ -119,12 +119,12 @@
     private static List<String> problems(
             long seed,
             ProxyUnderTest proxy,
-            PersistentCallers callers,
+            PersistentClients clients,
             Map<String, Integer> runs,
             boolean ended) {
         List<String> problems = new ArrayList<>();
-        if (!callers.allEndedInOrder()) {
-            problems.add("seed " + seed + ": " + callers);
+        if (!clients.allEndedInOrder()) {
+            problems.add("seed " + seed + ": " + clients);
         }
         runs.forEach(
                 (request, times) -> {
--- a/daemon/src/test/java/cedarrudder/program/StopIT.java
+++ b/daemon/src/test/java/cedarrudder/program/StopIT.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.IOException;
 import java.net.SocketException;
 import java.nio.file.Files;
@@ -32,11 +32,11 @@
         return Files.createTempDirectory("stop");
     }
 
-    private static void serveOne(World world, String id) throws Exception {
-        try (Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x").replace("id-1", id));
-            world.call().reply("200 OK", id);
-            assertEquals(caller.read().body(), id);
+    private static void serveOne(ProxyHarness harness, String id) throws Exception {
+        try (Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x").replace("id-1", id));
+            harness.nextRequest().reply("200 OK", id);
+            assertEquals(client.read().body(), id);
         }
     }
 
@@ -44,16 +44,16 @@
     @Test
     public void aProxyKilledAtAnyMomentOfItsStartCanBeRestarted() throws Exception {
         Path state = folder();
-        try (World world = new World(1)) {
+        try (ProxyHarness harness = new ProxyHarness(1)) {
             for (int moment : MOMENTS) {
-                try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
+                try (ProxyUnderTest proxy = new ProxyUnderTest(harness, state)) {
                     Thread.sleep(moment);
                     proxy.kill();
                 }
             }
-            try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest proxy = new ProxyUnderTest(harness, state)) {
                 proxy.awaitLine("proxy.started");
-                serveOne(world, "after");
+                serveOne(harness, "after");
             }
         }
     }
@@ -61,16 +61,16 @@
     /** SIGTERM during the start must end the process in order, whatever it had begun. */
     @Test
     public void sigtermDuringTheStartEndsTheProxy() throws Exception {
-        try (World world = new World(1)) {
+        try (ProxyHarness harness = new ProxyHarness(1)) {
             for (int moment : MOMENTS) {
-                try (ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
+                try (ProxyUnderTest proxy = new ProxyUnderTest(harness, folder())) {
                     Thread.sleep(moment);
                     proxy.signal("TERM");
-                    String said = proxy.rest();
-                    assertFalse(said.contains("Exception"), moment + " ms: " + said);
+                    String output = proxy.rest();
+                    assertFalse(output.contains("Exception"), moment + " ms: " + output);
                     // At 0 ms the signal may reach a virtual machine that is not yet initialised,
                     // which then exits with 1, not 143.
-                    if (moment > 0 || !said.isBlank()) {
+                    if (moment > 0 || !output.isBlank()) {
                         proxy.awaitEnd(ProxyUnderTest.TERMINATED);
                     }
                 }
@@ -81,25 +81,25 @@
     /** Signals must not pile up, and one must not undo another. */
     @Test
     public void manySighupsDisturbNothingAndTheFirstSigtermStartsTheShutdown() throws Exception {
-        try (World world = new World(1);
-                ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest proxy = new ProxyUnderTest(harness, folder())) {
             proxy.awaitLine("proxy.started");
             String pid = Long.toString(proxy.process.pid());
-            Process storm =
+            Process signals =
                     new ProcessBuilder(
                                     "/bin/sh",
                                     "-c",
                                     "for i in $(seq 500); do kill -HUP " + pid + "; done")
                             .start();
-            serveOne(world, "within");
-            Await.end("the end of the series of signals", storm);
-            serveOne(world, "behind");
+            serveOne(harness, "within");
+            Await.end("the end of the series of signals", signals);
+            serveOne(harness, "behind");
             for (String name : new String[] {"HUP", "TERM", "HUP", "TERM", "HUP"}) {
                 proxy.signal(name);
             }
-            String said = proxy.rest();
-            assertFalse(said.contains("Exception"), said);
-            assertEquals(said.split("proxy.shutdown_started", -1).length - 1, 1, said);
+            String output = proxy.rest();
+            assertFalse(output.contains("Exception"), output);
+            assertEquals(output.split("proxy.shutdown_started", -1).length - 1, 1, output);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
@@ -112,17 +112,17 @@
     public void aProxyWhoseJarWasOverwrittenEndsAtSigterm() throws Exception {
         Path jar = folder().resolve("cedarrudder.jar");
         Files.copy(Path.of(ProxyUnderTest.JAR), jar);
-        try (World world = new World(1);
+        try (ProxyHarness harness = new ProxyHarness(1);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 folder(),
                                 "",
                                 List.of(),
                                 List.of("-jar", jar.toString()),
                                 List.of())) {
             proxy.awaitLine("proxy.started");
-            serveOne(world, "before");
+            serveOne(harness, "before");
             byte[] other = new byte[(int) Files.size(jar)];
             Arrays.fill(other, (byte) 'x');
             Files.write(
@@ -144,27 +144,27 @@
     @Test
     public void guaranteesGivenBeforeAKillHoldAfterTheRestart() throws Exception {
         Path state = folder();
-        try (World world = new World(2)) {
-            try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
+        try (ProxyHarness harness = new ProxyHarness(2)) {
+            try (ProxyUnderTest proxy = new ProxyUnderTest(harness, state)) {
                 proxy.awaitLine("proxy.started");
-                try (Caller taken = world.caller();
-                        Caller half = world.caller();
-                        Caller large = world.caller()) {
+                try (Client taken = harness.client();
+                        Client half = harness.client();
+                        Client large = harness.client()) {
                     assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 200);
                     assertEquals(proxy.status("POST", "/-/drain"), 200);
                     large.send(
-                            World.request("lookup", "/stays-for-test", "")
+                            ProxyHarness.request("lookup", "/stays-for-test", "")
                                     .replace("id-1", "large"));
-                    world.call()
+                    harness.nextRequest()
                             .raw(
                                     "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
                                             + "x".repeat(100_000));
                     assertEquals(large.readHead().first(), "HTTP/1.1 200 OK");
                     half.send("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\n");
                     taken.send(
-                            World.request("order", "/stays-for-test", "x")
+                            ProxyHarness.request("order", "/stays-for-test", "x")
                                     .replace("id-1", "taken"));
-                    Received running = world.call();
+                    Received running = harness.nextRequest();
                     proxy.kill();
                     running.awaitEnd();
                     assertBreak(taken);
@@ -172,31 +172,31 @@
                     assertBreak(large);
                 }
             }
-            running(world, state);
+            assertStateRestored(harness, state);
         }
     }
 
     /** Checks that the connection ends without an answer, or without the rest of one. */
-    private static void assertBreak(Caller caller) throws IOException {
+    private static void assertBreak(Client client) throws IOException {
         try {
-            assertTrue(caller.in().readAllBytes().length <= 100_000, "more than the endpoint sent");
+            assertTrue(client.in().readAllBytes().length <= 100_000, "more than the endpoint sent");
         } catch (SocketException e) {
             // a reset also shows the break
         }
     }
 
-    private static void running(World world, Path state) throws Exception {
-        try (ProxyUnderTest again = new ProxyUnderTest(world, state)) {
+    private static void assertStateRestored(ProxyHarness harness, Path state) throws Exception {
+        try (ProxyUnderTest again = new ProxyUnderTest(harness, state)) {
             again.awaitLine("proxy.started");
             assertEquals(again.figure("out_of_rotation"), 1, "the endpoint is still disabled");
-            try (Caller health = world.caller()) {
+            try (Client health = harness.client()) {
                 health.send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertTrue(health.read().first().contains(" 503 "), "the proxy is still drained");
             }
             assertEquals(again.status("POST", "/-/resume"), 200);
-            assertTrue(world.calls.isEmpty(), "what ran before the kill was sent again");
+            assertTrue(harness.requests.isEmpty(), "what ran before the kill was sent again");
             for (int i = 0; i < 5; i++) {
-                serveOne(world, "after-" + i);
+                serveOne(harness, "after-" + i);
             }
             assertEquals(again.status("POST", "/-/nodes/n0/enable"), 200);
             again.awaitFigure("out_of_rotation", 0);
@@ -208,14 +208,14 @@
     @Test
     public void aKillAtEachStepOfAHandoverLeavesOneServingProcess() throws Exception {
         Path state = folder();
-        try (World world = new World(2)) {
-            Nodes.list(world);
-            ProxyUnderTest old = new ProxyUnderTest(world, state);
+        try (ProxyHarness harness = new ProxyHarness(2)) {
+            TestEndpoints.serveFullList(harness);
+            ProxyUnderTest old = new ProxyUnderTest(harness, state);
             old.awaitLine("proxy.started");
             assertEquals(old.status("POST", "/-/nodes/n0/disable"), 200);
             // The new process is ready and is killed: the old one takes over its part again, and n0
             // is enabled, as the new process was asked.
-            try (ProxyUnderTest dies = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest dies = new ProxyUnderTest(harness, state)) {
                 dies.awaitLine("proxy.started");
                 assertEquals(dies.figure("out_of_rotation"), 1);
                 assertEquals(dies.status("POST", "/-/nodes/n0/enable"), 200);
@@ -223,15 +223,15 @@
             }
             old.awaitLine("successor=false");
             old.awaitFigure("out_of_rotation", 0);
-            serveOne(world, "old");
+            serveOne(harness, "old");
             // The old process is killed during the handover: the new one continues alone.
-            try (ProxyUnderTest next = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest next = new ProxyUnderTest(harness, state)) {
                 next.awaitLine("proxy.started");
                 old.signal("TERM");
                 old.awaitLine("proxy.replaced");
                 old.kill();
                 next.awaitLine("predecessor=false");
-                serveOne(world, "next");
+                serveOne(harness, "next");
                 // Then the new process is killed, too, right after acknowledging a request: the
                 // next start restores its effect.
                 assertEquals(next.status("POST", "/-/nodes/n0/disable"), 200);
@@ -239,7 +239,7 @@
             } finally {
                 old.close();
             }
-            try (ProxyUnderTest last = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest last = new ProxyUnderTest(harness, state)) {
                 last.awaitLine("proxy.started");
                 assertEquals(last.figure("out_of_rotation"), 1);
             }
--- a/daemon/src/test/java/cedarrudder/program/Nodes.java
+++ b/daemon/src/test/java/cedarrudder/program/TestEndpoints.java
@@ -1,34 +1,34 @@
 package cedarrudder.program;
 
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Endpoints that answer automatically; some send requests to the next tier as real ones do. */
-final class Nodes {
+final class TestEndpoints {
 
     private static final AtomicLong IDS = new AtomicLong();
 
     /** Serves a request on behalf of an endpoint. */
-    interface Node {
-        void serve(Received call) throws Exception;
+    interface RequestHandler {
+        void serve(Received received) throws Exception;
     }
 
-    private Nodes() {}
+    private TestEndpoints() {}
 
     /**
      * Serves all requests to the endpoints of a test with this handler from now on, each request on
      * its own thread.
      */
-    static void play(World world, Node node) {
+    static void handleRequests(ProxyHarness harness, RequestHandler handler) {
         daemon(
                 () -> {
                     while (true) {
-                        Received call = world.calls.take();
-                        daemon(() -> node.serve(call));
+                        Received received = harness.requests.take();
+                        daemon(() -> handler.serve(received));
                     }
                 });
     }
@@ -37,16 +37,16 @@
      * Answers discovery's requests for the full list, whose text need not end in a line feed;
      * watches are left unanswered.
      */
-    static void list(World world) {
+    static void serveFullList(ProxyHarness harness) {
         daemon(
                 () -> {
                     while (true) {
-                        Received lookup = world.lookups.take();
+                        Received lookup = harness.lookups.take();
                         if (!lookup.first().contains("follow")) {
                             lookup.reply(
                                     "200 OK",
                                     "{\"version\":2,\"full\":true,\"servers\":["
-                                            + world.entries("in_service")
+                                            + harness.entries("in_service")
                                             + "]}");
                         }
                     }
@@ -76,11 +76,11 @@
      * Sends the proxy at a port a new request modelled on this one, with these further header
      * fields.
      */
-    static Received call(int port, Received request, String... fields) throws IOException {
-        try (Caller caller = new Caller(port)) {
+    static Received forward(int port, Received request, String... fields) throws IOException {
+        try (Client client = new Client(port)) {
             String kind = request.field("Req-Kind");
-            return caller.send(
-                            World.request(
+            return client.send(
+                            ProxyHarness.request(
                                             kind,
                                             "/api",
                                             kind.equals("lookup") ? "" : request.body(),
@@ -95,7 +95,7 @@
      * Returns the fields that an endpoint copies from a request to the requests that it sends on
      * its behalf, or from the answer it received to its own answer.
      */
-    static String[] copied(Received from, String... names) {
+    static String[] copyFields(Received from, String... names) {
         List<String> fields = new ArrayList<>();
         for (String name : names) {
             if (from.field(name) != null) {
@@ -109,24 +109,24 @@
      * Returns a handler that sends the proxy at a port one request and copies all budget fields, or
      * none.
      */
-    static Node relay(int port, boolean copies) {
-        return call ->
+    static RequestHandler relay(int port, boolean copiesFields) {
+        return received ->
                 pass(
-                        call,
-                        call(
+                        received,
+                        forward(
                                 port,
-                                call,
-                                copies
-                                        ? copied(call, "Cedar-Budget", "Cedar-Path")
+                                received,
+                                copiesFields
+                                        ? copyFields(received, "Cedar-Budget", "Cedar-Path")
                                         : new String[0]),
-                        copies);
+                        copiesFields);
     }
 
     /** Answers as the next tier did: with success, or with an error. */
-    static void pass(Received call, Received answer, boolean copies) throws IOException {
-        call.reply(
+    static void pass(Received received, Received answer, boolean copiesFields) throws IOException {
+        received.reply(
                 answer.first().contains(" 200 ") ? "200 OK" : "500 Error",
                 answer.body(),
-                copies ? copied(answer, "Cedar-Result") : new String[0]);
+                copiesFields ? copyFields(answer, "Cedar-Result") : new String[0]);
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.SocketException;
@@ -23,7 +23,7 @@
 /** Tests a new version of the built jar, started beside the one that serves. */
 public class UpgradeIT {
 
-    private static final int CALLERS = 6;
+    private static final int CLIENTS = 6;
 
     /**
      * The max number of requests that the users allow an upgrade to fail at the listening socket.
@@ -44,24 +44,24 @@
         /** The ids of first requests on connections that were reset before an answer. */
         final List<String> resetAtAccept = new ArrayList<>();
 
-        final List<Thread> callers = new ArrayList<>();
+        final List<Thread> clients = new ArrayList<>();
 
         Load(int port) {
-            for (int i = 0; i < CALLERS; i++) {
+            for (int i = 0; i < CLIENTS; i++) {
                 String name = "caller-" + i + "-";
-                Thread caller = new Thread(() -> run(port, name));
-                callers.add(caller);
-                caller.start();
+                Thread client = new Thread(() -> run(port, name));
+                clients.add(client);
+                client.start();
             }
         }
 
         private void run(int port, String name) {
-            Caller open = null;
+            Client open = null;
             for (int i = 0; on.get(); i++) {
                 boolean fresh = open == null;
                 try {
-                    open = fresh ? new Caller(port) : open;
-                    open.send(World.request("order", "/api", "x").replace("id-1", name + i));
+                    open = fresh ? new Client(port) : open;
+                    open.send(ProxyHarness.request("order", "/api", "x").replace("id-1", name + i));
                     Received answer = open.read();
                     if (answer == null || !answer.first().contains(" 200 ")) {
                         record(wrong, answer == null ? "closed on " + name + i : answer.first());
@@ -95,8 +95,8 @@
 
         void end() throws InterruptedException {
             on.set(false);
-            for (Thread caller : callers) {
-                Await.end("the end of a client", caller);
+            for (Thread client : clients) {
+                Await.end("the end of a client", client);
             }
         }
     }
@@ -107,21 +107,21 @@
         Path state = Files.createTempDirectory("upgrade");
         Map<String, Integer> ran = new ConcurrentHashMap<>();
         Map<Integer, Integer> at = new ConcurrentHashMap<>();
-        try (World world = new World(3);
-                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
-            Nodes.play(
-                    world,
-                    call -> {
-                        ran.merge(call.field("Req-Id"), 1, Integer::sum);
-                        at.merge(call.socket().getLocalPort(), 1, Integer::sum);
-                        call.reply("200 OK", "done");
+        try (ProxyHarness harness = new ProxyHarness(3);
+                ProxyUnderTest first = new ProxyUnderTest(harness, state)) {
+            TestEndpoints.handleRequests(
+                    harness,
+                    request -> {
+                        ran.merge(request.field("Req-Id"), 1, Integer::sum);
+                        at.merge(request.socket().getLocalPort(), 1, Integer::sum);
+                        request.reply("200 OK", "done");
                     });
-            Nodes.list(world); // requested by the successor
+            TestEndpoints.serveFullList(harness); // requested by the successor
             first.awaitLine("proxy.started");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
-            Load load = new Load(world.port);
+            Load load = new Load(harness.port);
             load.awaitMore(50);
-            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest second = new ProxyUnderTest(harness, state)) {
                 second.awaitLine("proxy.started");
                 load.awaitMore(50);
                 assertEquals(second.status("GET", "/-/ready"), 200);
@@ -143,7 +143,7 @@
                 load.resetAtAccept.forEach(
                         id -> assertFalse(ran.containsKey(id), id + " ran and was not answered"));
                 assertEquals(ran.values().stream().filter(times -> times != 1).count(), 0);
-                assertEquals(at.get(world.nodes.get(0).server.getLocalPort()), null);
+                assertEquals(at.get(harness.nodes.get(0).server.getLocalPort()), null);
                 assertEquals(second.status("POST", "/-/nodes/n0/enable"), 200);
                 second.signal("TERM");
                 second.awaitLine("proxy.shutdown_started");
@@ -155,12 +155,12 @@
     @Test
     public void aProxyEndingBesideAnUnreadySuccessorShutsDownAsIfItWereAlone() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
-        try (World world = new World(1);
-                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest first = new ProxyUnderTest(harness, state)) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             first.awaitLine("proxy.started");
             // Not ready as long as discovery returns no list.
-            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest second = new ProxyUnderTest(harness, state)) {
                 first.awaitLine("successor=true ready=false");
                 first.signal("TERM");
                 first.awaitLine("proxy.shutdown_started");
@@ -173,12 +173,12 @@
     @Test
     public void aVersionKilledBeforeItIsReadyLeavesTheOldOneServing() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
-        try (World world = new World(1);
-                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest first = new ProxyUnderTest(harness, state)) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             first.awaitLine("proxy.started");
-            Load load = new Load(world.port);
-            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
+            Load load = new Load(harness.port);
+            try (ProxyUnderTest second = new ProxyUnderTest(harness, state)) {
                 first.awaitLine("successor=true ready=false");
                 second.kill();
                 first.awaitLine("successor=false");
