--- a/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ClassDataIT.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.program.World.Caller;
+import cedarrudder.program.ProxyHarness.Client;
 import cedarrudder.toml.ConfigDocument;
 import java.io.File;
 import java.io.IOException;
@@ -19,26 +19,31 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The command that the platform starts, and whether it starts with the class-data archive. */
+/** Tests the command that the platform starts, and whether it uses the class-data archive. */
 public class ClassDataIT {
 
-    /** How the virtual machine's list of loaded classes names the archive that the build made. */
+    /**
+     * The source that the virtual machine's list of loaded classes gives for the archive of the
+     * build.
+     */
     private static final String FROM_ARCHIVE = "shared objects file (top)";
 
     private static final String JAR = "daemon/target/cedarrudder.jar";
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
-    /** What a run came to: where each class came from, and all that it said. */
+    /** The result of a run: the source of each class, and the text of both output streams. */
     private record Run(Map<String, String> sources, String out, String err) {}
 
-    /** Starts the command, waits until the proxy is ready, serves a request and ends it. */
+    /**
+     * Starts the command, waits until the proxy is ready, serves a request and ends the process.
+     */
     private static Run run(String command) throws IOException, InterruptedException {
         Path loaded = Files.createTempFile("cedarrudder", ".classes");
         Path out = Files.createTempFile("cedarrudder", ".out");
         Path err = Files.createTempFile("cedarrudder", ".err");
         Path configuration = Files.createTempFile("cedarrudder", ".json");
-        try (World world = new World(1)) {
-            Files.writeString(configuration, world.configuration());
+        try (ProxyHarness harness = new ProxyHarness(1)) {
+            Files.writeString(configuration, harness.configuration());
             ProcessBuilder builder =
                     new ProcessBuilder(
                                     "/bin/sh",
@@ -49,7 +54,7 @@
                             .redirectOutput(out.toFile())
                             .redirectError(err.toFile());
             builder.environment().put("BALANCER_CONFIG", configuration.toString());
-            // The Java that made the archive: another one would not take it.
+            // The Java that made the archive; another one would reject the archive.
             builder.environment()
                     .merge(
                             "PATH",
@@ -58,17 +63,17 @@
             Process process = builder.start();
             try {
                 for (int i = 0; !Files.readString(err).contains("proxy.started"); i++) {
-                    assertTrue(process.isAlive() && i < PATIENCE_MILLIS, Files.readString(err));
+                    assertTrue(process.isAlive() && i < TIMEOUT_MILLIS, Files.readString(err));
                     Thread.sleep(1);
                 }
-                try (Caller caller = world.caller()) {
-                    caller.send(World.request("lookup", "/api", ""));
-                    world.call().reply("200 OK", "served");
-                    assertEquals(caller.read().body(), "served");
+                try (Client client = harness.client()) {
+                    client.send(ProxyHarness.request("lookup", "/api", ""));
+                    harness.nextRequest().reply("200 OK", "served");
+                    assertEquals(client.read().body(), "served");
                 }
             } finally {
                 process.destroy();
-                assertTrue(process.waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+                assertTrue(process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             }
             Map<String, String> sources = new HashMap<>();
             for (String line : Files.readAllLines(loaded, StandardCharsets.UTF_8)) {
@@ -96,7 +101,7 @@
     }
 
     @Test
-    public void thePlatformsCommandTakesItsClassesFromTheArchiveAndSaysNothingOnStandardOutput()
+    public void thePlatformsCommandLoadsItsClassesFromTheArchiveAndPrintsNothingOnStandardOutput()
             throws Exception {
         Run run = run(command());
         assertEquals(run.out, "");
@@ -111,7 +116,7 @@
                         "io.netty.channel.nio.NioEventLoop")) {
             assertEquals(run.sources.get(name), FROM_ARCHIVE, name);
         }
-        // Netty's bridges to logging libraries that are not there can't be archived.
+        // Netty's bridges to absent logging libraries can't be archived.
         List<String> fromJar =
                 run.sources.entrySet().stream()
                         .filter(e -> e.getValue().contains("cedarrudder.jar"))
@@ -121,9 +126,13 @@
         assertTrue(fromJar.isEmpty(), "the training in deploy/ClassData.java misses " + fromJar);
     }
 
-    /** What only other commands and the operator's file need costs start-up time and memory. */
+    /**
+     * Classes that only other commands and the operator's file need would cost start-up time and
+     * memory.
+     */
     @Test
-    public void thePlatformsCommandLoadsNoReaderOfArgumentsAndNoneOfToml() throws Exception {
+    public void thePlatformsCommandLoadsNeitherTheArgumentParserNorTheTomlParser()
+            throws Exception {
         Run run = run(command());
         assertNotNull(run.sources.get("cedarrudder.program.Main"));
         List<String> unwanted =
@@ -163,11 +172,11 @@
     }
 
     /**
-     * The trap: the archive serves only the jar it was trained with. Were it left out, this must
-     * show.
+     * The archive works only with the jar it was trained with. This test shows that the checks of
+     * this class would notice an unused archive.
      */
     @Test
-    public void aJarElsewhereIsSeenToLeaveTheArchiveOut() throws Exception {
+    public void aJarAtAnotherPathIsDetectedAsNotUsingTheArchive() throws Exception {
         Path copy = Files.createTempFile("cedarrudder", ".jar");
         try {
             Files.copy(
--- a/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FileStableStorageTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a replica with a disk finds again. */
+/** Tests of the state that a replica recovers from its disk. */
 public class FileStableStorageTest {
 
     private static final VoterGroup GROUP = new VoterGroup(3, 1, 77);
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Two syncs: a promise, a snapshot and entries 7 to 9; then 9 and 10 in other terms, and a
-     * promise.
+     * Writes two syncs: a vote, a snapshot and entries 7 to 9; then 9 and 10 with other content,
+     * and a vote.
      */
     private void write() {
         try (FileStableStorage store = open()) {
@@ -77,46 +77,48 @@
         }
     }
 
-    private static void assertKept(Recovered kept, HardState promise, int... entries) {
-        assertNotNull(kept);
-        assertEquals(kept.hardState(), promise);
-        assertEquals(kept.snapshot().index(), 6);
-        assertEquals(kept.snapshot().state(), SNAPSHOT.state());
-        assertEquals(kept.snapshot().voters(), SNAPSHOT.voters());
+    private static void assertRecovered(Recovered recovered, HardState hardState, int... entries) {
+        assertNotNull(recovered);
+        assertEquals(recovered.hardState(), hardState);
+        assertEquals(recovered.snapshot().index(), 6);
+        assertEquals(recovered.snapshot().state(), SNAPSHOT.state());
+        assertEquals(recovered.snapshot().voters(), SNAPSHOT.voters());
         assertEquals(
-                kept.entries().stream().mapToInt(entry -> entry.bytes()[0]).toArray(), entries);
+                recovered.entries().stream().mapToInt(entry -> entry.bytes()[0]).toArray(),
+                entries);
     }
 
     @Test
-    public void whatWasSyncedIsFoundAgain() {
+    public void syncedStateIsRecovered() {
         write();
         try (FileStableStorage store = open()) {
-            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            assertRecovered(store.recovered(), LATER, 7, 8, 90, 10);
             store.append(11, entry(11)); // not synced
         }
         try (FileStableStorage store = open()) {
-            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            assertRecovered(store.recovered(), LATER, 7, 8, 90, 10);
         }
         assertEquals(log.toString(), "");
     }
 
-    /** Detects a store that another build wrote and this one can't open, or the other way round. */
+    /** This build and an earlier one must be able to read each other's files. */
     @Test
-    public void theFileIsThatOfTheEarlierBuild() throws IOException {
+    public void theFileFormatMatchesTheEarlierBuild() throws IOException {
         write();
         Golden.check("consensus-store.txt", Golden.hex(Files.readAllBytes(file)));
         Files.write(file, Golden.bytes(Golden.read("consensus-store.txt")));
         try (FileStableStorage store = open()) {
-            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            assertRecovered(store.recovered(), LATER, 7, 8, 90, 10);
         }
         assertEquals(log.toString(), "");
     }
 
     /**
-     * Wherever the last write ended: all of it counts or none, and what is written next is found.
+     * Wherever the last write was cut off, all of it counts or none, and later writes are
+     * recovered.
      */
     @Test
-    public void aTornTailIsCutWhereverItIs() throws IOException {
+    public void aTornTailIsTruncatedAtAnyLength() throws IOException {
         write();
         byte[] whole = Files.readAllBytes(file);
         int second = 0;
@@ -124,34 +126,36 @@
             Files.write(file, Arrays.copyOf(whole, length));
             try (FileStableStorage store = open()) {
                 if (store.recovered() == null) {
-                    break; // within the first
+                    break; // cut within the first sync
                 }
-                assertKept(store.recovered(), FIRST, 7, 8, 9);
+                assertRecovered(store.recovered(), FIRST, 7, 8, 9);
                 second++;
                 store.writeHardState(LATER);
                 store.sync();
             }
             try (FileStableStorage store = open()) {
-                assertKept(store.recovered(), LATER, 7, 8, 9);
+                assertRecovered(store.recovered(), LATER, 7, 8, 9);
             }
         }
         assertTrue(second > 40, "only " + second);
-        Files.write(file, Arrays.copyOf(whole, whole.length + 100)); // longer, and nothing in it
+        Files.write(file, Arrays.copyOf(whole, whole.length + 100)); // longer by 100 zero bytes
         try (FileStableStorage store = open()) {
-            assertKept(store.recovered(), LATER, 7, 8, 90, 10);
+            assertRecovered(store.recovered(), LATER, 7, 8, 90, 10);
         }
     }
 
-    /** One bit turned anywhere before the last batch, and the replica begins as one that forgot. */
+    /**
+     * After a bit flip anywhere before the last batch the replica starts without recovered state.
+     */
     @Test
-    public void aCorruptFileIsRefusedAndSetAside() throws IOException {
+    public void aCorruptFileIsRejectedAndSetAside() throws IOException {
         write();
         byte[] whole = Files.readAllBytes(file);
         int last = whole.length;
         for (int at = 0; at < 80; at++) {
-            byte[] turned = whole.clone();
-            turned[at] ^= 16;
-            Files.write(file, turned);
+            byte[] corrupted = whole.clone();
+            corrupted[at] ^= 16;
+            Files.write(file, corrupted);
             log.reset();
             try (FileStableStorage store = open()) {
                 assertNull(store.recovered(), "byte " + at + " of " + last);
@@ -164,7 +168,7 @@
                 store.writeHardState(LATER);
                 store.sync();
             }
-            assertEquals(Files.readAllBytes(folder.resolve("agreement.refused")), turned);
+            assertEquals(Files.readAllBytes(folder.resolve("agreement.refused")), corrupted);
             try (FileStableStorage store = open()) {
                 assertEquals(store.recovered().hardState(), LATER);
             }
@@ -172,7 +176,7 @@
     }
 
     @Test
-    public void anotherCopysFileIsRefused() throws IOException {
+    public void theFileOfAnotherReplicaIsRejected() throws IOException {
         write();
         try (FileStableStorage store =
                 new FileStableStorage(folder, 2, 5, new Logger(new PrintStream(log, true)))) {
@@ -184,7 +188,7 @@
     }
 
     @Test
-    public void oneProcessUsesAFolder() {
+    public void aFolderIsLockedByOneProcess() {
         try (FileStableStorage store = open()) {
             assertNull(store.recovered());
             assertTrue(
@@ -196,41 +200,42 @@
     }
 
     /**
-     * How long the loop stands still for a promise and an entry; {@code -Dstore.syncs} for more of
-     * them.
+     * Measures how long the loop blocks for a vote and an entry; {@code -Dstore.syncs} sets the
+     * number of syncs.
      */
     @Test
-    public void aSyncIsShort() {
+    public void theMedianSyncTakesLessThanASecond() {
         int syncs = Integer.getInteger("store.syncs", 20);
-        long[] took = new long[syncs];
+        long[] durations = new long[syncs];
         try (FileStableStorage store = open()) {
             for (int i = 0; i < syncs; i++) {
                 store.writeHardState(i % 2 == 0 ? FIRST : LATER);
                 store.append(i + 1, new LogEntry(4, Kind.CONTENT, new byte[500]));
                 long begun = System.nanoTime();
                 store.sync();
-                took[i] = System.nanoTime() - begun;
+                durations[i] = System.nanoTime() - begun;
             }
         }
-        Arrays.sort(took);
+        Arrays.sort(durations);
         Reporter.log(
                 "syncs "
                         + syncs
                         + ", p50 "
-                        + took[syncs / 2] / 1_000
+                        + durations[syncs / 2] / 1_000
                         + " us, p99 "
-                        + took[syncs * 99 / 100] / 1_000
-                        + " us, most "
-                        + took[syncs - 1] / 1_000
+                        + durations[syncs * 99 / 100] / 1_000
+                        + " us, max "
+                        + durations[syncs - 1] / 1_000
                         + " us",
                 true);
         assertTrue(
-                took[syncs / 2] < 1_000_000_000L, "a disk that takes " + took[syncs / 2] + " ns");
+                durations[syncs / 2] < 1_000_000_000L,
+                "the median sync takes " + durations[syncs / 2] + " ns");
     }
 
-    /** Detects a file that grows for as long as the replica lives. */
+    /** The file must not grow for as long as the replica runs. */
     @Test
-    public void theFileStaysSmall() throws IOException {
+    public void theFileSizeStaysBounded() throws IOException {
         try (FileStableStorage store = open()) {
             store.writeHardState(FIRST);
             for (int i = 1; i <= 3_000; i++) {
@@ -244,7 +249,7 @@
             }
             store.sync();
         }
-        assertTrue(Files.size(file) < 1_300_000, "it has " + Files.size(file));
+        assertTrue(Files.size(file) < 1_300_000, "size in bytes: " + Files.size(file));
         try (FileStableStorage store = open()) {
             assertEquals(store.recovered().snapshot().index(), 2_992);
             assertEquals(store.recovered().entries().size(), 8);
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -7,7 +7,7 @@
 import cedarrudder.footprint.EndpointListShape;
 import cedarrudder.footprint.ProcessFootprint;
 import cedarrudder.footprint.ProcessShape;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import cedarrudder.toml.ConfigDocument;
 import java.io.File;
@@ -22,7 +22,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What the built jar says that it takes, beside what it then holds, under the platform's own flags.
+ * Compares the footprint that the built jar reports with its actual use, under the platform's own
+ * flags.
  */
 public class FootprintOfProcessesIT {
 
@@ -30,16 +31,16 @@
     private static final double MAX_OVER = 0.15;
 
     /**
-     * The heap is read this often for what a list alone holds. What a process does for a moment,
-     * such as a call to discovery or the last of its start, only adds to a reading: the least is at
+     * The number of heap readings for the bytes of a list alone. Short-lived use, such as a request
+     * to discovery or the last steps of the start, only adds to a reading: the min is the use at
      * rest.
      */
     private static final int READINGS = 10;
 
-    /** What a process said and held. */
-    private record Seen(JsonObject says, long heap, long resident, int descriptors) {}
+    /** The reported footprint of a process and its actual use. */
+    private record Footprints(JsonObject reported, long heap, long resident, int descriptors) {}
 
-    /** The flags of the platform's command, with every collection one that compacts all. */
+    /** Returns the flags of the platform's command, with every collection a compacting one. */
     private static List<String> flags() throws Exception {
         String run =
                 ConfigDocument.read(Path.of("deploy", "balancer.toml")).root().text("run", null);
@@ -52,7 +53,7 @@
         return flags;
     }
 
-    private static World world(int zones, int tenants) throws Exception {
+    private static ProxyHarness harness(int zones, int tenants) throws Exception {
         StringBuilder zone = new StringBuilder("\"room\"");
         for (int i = 1; i < zones; i++) {
             zone.append(",\"zone-").append(i).append('"');
@@ -66,21 +67,24 @@
                     .append(1.0 / tenants)
                     .append(",\"quota-per-s\":10}");
         }
-        return new World(0)
+        return new ProxyHarness(0)
                 .with("\"room\"", zone.toString())
                 .with(
                         "{\"name\": \"acme\", \"share\": 1.0, \"quota-per-s\": 100.0}",
                         tenant.toString());
     }
 
-    /** Tells the lists on each watch from now on, and at each call for one the last of them. */
-    private static void tell(World world, String... lists) {
-        Nodes.daemon(
+    /**
+     * Sends the lists on each watch from now on, and the last of them in answer to each request for
+     * a list.
+     */
+    private static void serveLists(ProxyHarness harness, String... lists) {
+        TestEndpoints.daemon(
                 () -> {
                     while (true) {
-                        Received lookup = world.lookups.take();
+                        Received lookup = harness.lookups.take();
                         if (lookup.first().contains("follow")) {
-                            lookup.raw(World.STREAM);
+                            lookup.raw(ProxyHarness.STREAM);
                             for (String list : lists) {
                                 lookup.chunk(list + "\n");
                             }
@@ -92,8 +96,8 @@
     }
 
     /**
-     * Of endpoints that refuse connections at once, so that none is open while descriptors are
-     * counted.
+     * Returns a list of endpoints that refuse connections at once, so that none is open while
+     * descriptors are counted.
      */
     private static String list(int nodes, int zones) {
         return RetainedEndpointList.list(0, nodes, zones)
@@ -113,7 +117,7 @@
                 * 4096;
     }
 
-    /** Bytes of all objects that live, after a collection. */
+    /** Returns the bytes of all live objects after a collection. */
     private static long live(Process process) throws Exception {
         Process jcmd =
                 new ProcessBuilder(
@@ -122,9 +126,9 @@
                                 "GC.class_histogram")
                         .redirectErrorStream(true)
                         .start();
-        String said = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(Await.end("the end of jcmd", jcmd), 0, said);
-        return said.lines()
+        String output = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(Await.end("the end of jcmd", jcmd), 0, output);
+        return output.lines()
                 .filter(line -> line.startsWith("Total"))
                 .mapToLong(line -> Long.parseLong(line.strip().split("\\s+")[2]))
                 .findFirst()
@@ -132,88 +136,92 @@
     }
 
     /**
-     * Discovery resets each call as long as this holds. Detects calls that wait for it, and the
-     * spare connection beside them, being counted as held before a list was told: they go once it
-     * is.
+     * Makes discovery reset each request while the returned flag is true. Otherwise requests
+     * waiting for discovery, and the spare connection beside them, would be counted as in use
+     * before a list was received; they end once it is.
      */
-    private static AtomicBoolean turnAway(World world) {
-        AtomicBoolean away = new AtomicBoolean(true);
-        Nodes.daemon(
+    private static AtomicBoolean resetLookups(ProxyHarness harness) {
+        AtomicBoolean resetting = new AtomicBoolean(true);
+        TestEndpoints.daemon(
                 () -> {
-                    while (away.get()) {
-                        Received lookup = world.lookups.poll(1, TimeUnit.MILLISECONDS);
+                    while (resetting.get()) {
+                        Received lookup = harness.lookups.poll(1, TimeUnit.MILLISECONDS);
                         if (lookup != null) {
                             lookup.reset();
                         }
                     }
                 });
-        return away;
+        return resetting;
     }
 
-    private static ProxyUnderTest start(World world, List<String> flags) throws IOException {
+    private static ProxyUnderTest start(ProxyHarness harness, List<String> flags)
+            throws IOException {
         return new ProxyUnderTest(
-                world,
+                harness,
                 Files.createTempDirectory("fit"),
                 "",
                 flags,
                 List.of("--operator", operator("").toString()));
     }
 
-    private static Seen rest(int nodes, int zones, int tenants) throws Exception {
-        try (World world = world(zones, tenants);
-                ProxyUnderTest proxy = start(world, flags())) {
-            AtomicBoolean away = turnAway(world);
+    private static Footprints rest(int nodes, int zones, int tenants) throws Exception {
+        try (ProxyHarness harness = harness(zones, tenants);
+                ProxyUnderTest proxy = start(harness, flags())) {
+            AtomicBoolean resetting = resetLookups(harness);
             proxy.awaitLine("proxy.started");
-            live(proxy.process); // first: what jcmd itself leaves there counts for nothing
+            live(proxy.process); // the first run, since the objects that jcmd itself leaves
+            // there don't count
             live(proxy.process);
-            away.set(false);
-            tell(world, list(nodes, zones));
+            resetting.set(false);
+            serveLists(harness, list(nodes, zones));
             proxy.awaitFigure("registry_entries", nodes);
             long resident = pages(proxy.process);
             int descriptors = Integer.MAX_VALUE;
             for (int i = 0;
                     i < 10;
-                    i++) { // operators' connections of this test may still be closing
-                descriptors = Math.min(descriptors, proxy.descriptors() - 1); // but that for jcmd
+                    i++) { // connections of this test to the operators' address may still be
+                // closing
+                descriptors =
+                        Math.min(descriptors, proxy.descriptors() - 1); // except the one for jcmd
                 Thread.sleep(20);
             }
-            JsonObject says =
-                    JsonObject.parse(proxy.call("GET", "/-/metrics").body())
+            JsonObject reported =
+                    JsonObject.parse(proxy.request("GET", "/-/metrics").body())
                             .child("footprint")
                             .child("process");
-            return new Seen(says, live(proxy.process), resident, descriptors);
+            return new Footprints(reported, live(proxy.process), resident, descriptors);
         }
     }
 
     /**
-     * By how much a list lets the heap grow, in a process of its own: the many readings enlarge
-     * what is resident.
+     * Returns the growth of the heap by a list, measured in its own process since the many readings
+     * enlarge the resident memory.
      */
-    private static long heldByList(int nodes, int zones, int tenants) throws Exception {
+    private static long heapGrowthByList(int nodes, int zones, int tenants) throws Exception {
         List<String> flags = new ArrayList<>(flags());
-        // Else what soft references hold may go between two readings.
+        // Otherwise softly referenced objects may be collected between two readings.
         flags.add("-XX:SoftRefLRUPolicyMSPerMB=1000000");
-        try (World world = world(zones, tenants);
-                ProxyUnderTest proxy = start(world, flags)) {
-            AtomicBoolean away = turnAway(world);
+        try (ProxyHarness harness = harness(zones, tenants);
+                ProxyUnderTest proxy = start(harness, flags)) {
+            AtomicBoolean resetting = resetLookups(harness);
             proxy.awaitLine("proxy.started");
-            long before = leastLive(proxy.process);
-            away.set(false);
-            tell(world, list(nodes, zones));
+            long before = minLive(proxy.process);
+            resetting.set(false);
+            serveLists(harness, list(nodes, zones));
             proxy.awaitFigure("registry_entries", nodes);
-            return leastLive(proxy.process) - before;
+            return minLive(proxy.process) - before;
         }
     }
 
-    private static long leastLive(Process process) throws Exception {
-        long least = Long.MAX_VALUE;
+    private static long minLive(Process process) throws Exception {
+        long minBytes = Long.MAX_VALUE;
         for (int i = 0; i < READINGS; i++) {
-            least = Math.min(least, live(process));
+            minBytes = Math.min(minBytes, live(process));
         }
-        return least;
+        return minBytes;
     }
 
-    /** What a list is said to take, with the watch that tells it. */
+    /** Returns the estimated heap bytes of a list and of the watch that receives it. */
     private static long list(String text, int nodes) {
         ProcessFootprint footprint = new ProcessFootprint(MachineLayout.read());
         EndpointListShape list =
@@ -225,59 +233,62 @@
     private static String compare(String what, long estimate, long held) {
         double off = estimate / (double) held - 1;
         String line =
-                String.format("%s: said %d, held %d, %+.1f %%", what, estimate, held, 100 * off);
+                String.format(
+                        "%s: estimated %d, used %d, %+.1f %%", what, estimate, held, 100 * off);
         System.out.println(line);
         return off < -MAX_UNDER || off > MAX_OVER ? line + "\n" : "";
     }
 
-    /** Detects a term that is forgotten, or one that grew since it was measured. */
+    /** The estimate must cover every part of the process and its size. */
     @Test
-    public void atRestNeverUnderByMoreThanThreeInAHundredNorOverByMoreThanFifteen()
-            throws Exception {
+    public void estimateAtRestIsAtMost3PercentBelowAnd15PercentAboveTheUse() throws Exception {
         StringBuilder wrong = new StringBuilder();
         boolean all = System.getProperty("footprint.nodes") != null;
         for (int nodes = 10; nodes <= Integer.getInteger("footprint.nodes", 1_000); nodes *= 10) {
             for (int zones : all ? new int[] {1, 12} : new int[] {12}) {
                 for (int tenants : all ? new int[] {1, 20} : new int[] {20}) {
-                    Seen seen = rest(nodes, zones, tenants);
+                    Footprints footprints = rest(nodes, zones, tenants);
                     String name = nodes + " nodes, " + zones + " zones, " + tenants + " tenants, ";
                     wrong.append(
-                            compare(name + "heap", seen.says.integer("heap_at_rest"), seen.heap));
+                            compare(
+                                    name + "heap",
+                                    footprints.reported.integer("heap_at_rest"),
+                                    footprints.heap));
                     wrong.append(
                             compare(
                                     name + "list alone",
                                     list(list(nodes, zones), nodes),
-                                    heldByList(nodes, zones, tenants)));
+                                    heapGrowthByList(nodes, zones, tenants)));
                     wrong.append(
                             compare(
                                     name + "resident",
-                                    seen.says.integer("resident"),
-                                    seen.resident));
+                                    footprints.reported.integer("resident"),
+                                    footprints.resident));
                     wrong.append(
                             compare(
                                     name + "descriptors",
-                                    seen.says.integer("descriptors"),
-                                    seen.descriptors));
+                                    footprints.reported.integer("descriptors"),
+                                    footprints.descriptors));
                 }
             }
         }
         assertTrue(wrong.isEmpty(), wrong.toString());
     }
 
-    /** Detects an estimate that forgets the peak. */
+    /** The estimate must cover the peak while a list is loaded. */
     @Test
-    public void atThePeakOfLoadingLikewise() throws Exception {
+    public void estimateOfThePeakIsAtMost3PercentBelowAnd15PercentAboveTheUse() throws Exception {
         StringBuilder wrong = new StringBuilder();
         for (int nodes = 1_000;
                 nodes <= Integer.getInteger("footprint.nodes", 1_000);
                 nodes *= 10) {
             Path begin = Files.createTempDirectory("fit").resolve("begin");
             List<String> flags = new ArrayList<>(flags());
-            flags.add("-D" + Collecting.FILE + "=" + begin);
-            try (World world = world(12, 20);
+            flags.add("-D" + GarbageCollectingDaemon.FILE + "=" + begin);
+            try (ProxyHarness harness = harness(12, 20);
                     ProxyUnderTest proxy =
                             new ProxyUnderTest(
-                                    world,
+                                    harness,
                                     Files.createTempDirectory("fit"),
                                     "",
                                     flags,
@@ -286,7 +297,7 @@
                                             ProxyUnderTest.JAR
                                                     + File.pathSeparator
                                                     + Path.of("daemon", "target", "test-classes"),
-                                            "cedarrudder.program.Collecting"),
+                                            "cedarrudder.program.GarbageCollectingDaemon"),
                                     List.of("--operator", operator("").toString()))) {
                 proxy.awaitLine("proxy.started");
                 Files.createFile(begin);
@@ -294,38 +305,42 @@
                         "the first collection",
                         proxy.process,
                         proxy.log,
-                        line -> Collecting.max(line) > 0);
-                // Told again and again: a peak is short, and each passes it.
+                        line -> GarbageCollectingDaemon.max(line) > 0);
+                // Sent several times: a peak is short, and each of these loads has one.
                 String list = list(nodes, 12);
-                tell(world, list, list, list, list(nodes - 1, 12));
+                serveLists(harness, list, list, list, list(nodes - 1, 12));
                 long[] max = {0};
                 proxy.awaitFigure("registry_entries", nodes - 1);
-                JsonObject says =
-                        JsonObject.parse(proxy.call("GET", "/-/metrics").body())
+                JsonObject reported =
+                        JsonObject.parse(proxy.request("GET", "/-/metrics").body())
                                 .child("footprint")
                                 .child("process");
                 proxy.signal("TERM");
                 proxy.rest()
                         .lines()
-                        .forEach(line -> max[0] = Math.max(max[0], Collecting.max(line)));
+                        .forEach(
+                                line ->
+                                        max[0] =
+                                                Math.max(
+                                                        max[0], GarbageCollectingDaemon.max(line)));
                 wrong.append(
                         compare(
                                 nodes + " nodes, at the peak",
-                                says.integer("heap_at_peak"),
+                                reported.integer("heap_at_peak"),
                                 max[0]));
             }
         }
         assertTrue(wrong.isEmpty(), wrong.toString());
     }
 
-    /** Detects a history from which nobody can tell whether the estimate held. */
+    /** The history must show whether the estimate was right. */
     @Test
-    public void theHistoryHasWhatWasEstimatedAndWhatWasThenHeld() throws Exception {
+    public void theHistoryRecordsTheEstimateAndTheUseAfterwards() throws Exception {
         Path history = Files.createTempDirectory("history").resolve("history.jsonl");
-        try (World world = world(3, 2);
+        try (ProxyHarness harness = harness(3, 2);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 Files.createTempDirectory("fit"),
                                 "",
                                 flags(),
@@ -336,29 +351,30 @@
                                                                 + history
                                                                 + "\"\n")
                                                 .toString()))) {
-            tell(world, list(300, 3));
+            serveLists(harness, list(300, 3));
             proxy.awaitLine("proxy.started");
             proxy.awaitFigure("registry_entries", 300);
-            Await.until("what it held", () -> Files.readString(history).contains("\"held\""));
+            Await.until(
+                    "the use after the load", () -> Files.readString(history).contains("\"held\""));
         }
-        List<JsonObject> said =
+        List<JsonObject> output =
                 Files.readAllLines(history).stream()
                         .map(JsonObject::parse)
                         .filter(line -> line.isText("load"))
                         .toList();
         assertEquals(
-                said.stream().map(line -> line.text("what", "")).toList(),
+                output.stream().map(line -> line.text("what", "")).toList(),
                 List.of("estimate", "took", "held"));
         assertEquals(
-                said.stream().map(line -> line.text("load", "")).distinct().toList(),
+                output.stream().map(line -> line.text("load", "")).distinct().toList(),
                 List.of("list 1"));
-        assertEquals(said.get(0).text("fits", ""), "1");
-        assertEquals(said.get(0).text("bound", ""), said.get(2).text("bound", ""));
+        assertEquals(output.get(0).text("fits", ""), "1");
+        assertEquals(output.get(0).text("bound", ""), output.get(2).text("bound", ""));
         assertEquals(
                 compare(
                         "300 nodes, by the history",
-                        Long.parseLong(said.get(0).text("needed", "")),
-                        Long.parseLong(said.get(2).text("now", ""))),
+                        Long.parseLong(output.get(0).text("needed", "")),
+                        Long.parseLong(output.get(2).text("now", ""))),
                 "");
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/Collecting.java
+++ b/daemon/src/test/java/cedarrudder/program/GarbageCollectingDaemon.java
@@ -4,18 +4,18 @@
 import java.nio.file.Path;
 
 /**
- * The daemon with a thread beside it that collects without end once a file is there, and says each
- * time that more lives than ever. The program moves on for a millisecond between two collections,
- * so that hardly a peak is missed.
+ * Runs the daemon beside a thread that collects garbage repeatedly once a file exists, and prints
+ * each new maximum of the live heap bytes. The program runs for a millisecond between two
+ * collections, so that hardly a peak is missed.
  */
-final class Collecting {
+final class GarbageCollectingDaemon {
 
-    /** Names the file. */
+    /** The system property that names the file. */
     static final String FILE = "collecting.file";
 
-    private static final String SAYS = "most ";
+    private static final String MAX_PREFIX = "most ";
 
-    private Collecting() {}
+    private GarbageCollectingDaemon() {}
 
     public static void main(String[] args) throws Exception {
         Path file = Path.of(System.getProperty(FILE));
@@ -27,15 +27,16 @@
                                     Thread.sleep(10);
                                 }
                                 for (long max = 0; ; ) {
-                                    Thread.sleep(1); // or a list of 10,000 takes minutes
+                                    Thread.sleep(
+                                            1); // without a pause a list of 10,000 takes minutes
                                     long now = ProcessMemoryEstimate.liveHeapBytes();
                                     if (now > max) {
                                         max = now;
-                                        System.err.println(SAYS + now);
+                                        System.err.println(MAX_PREFIX + now);
                                     }
                                 }
                             } catch (InterruptedException e) {
-                                // nobody does
+                                // nobody interrupts this thread
                             }
                         });
         collecting.setDaemon(true);
@@ -43,8 +44,10 @@
         Main.main(args);
     }
 
-    /** What a line says; 0 where it is another one. */
+    /** Returns the maximum that a line reports; 0 for any other line. */
     static long max(String line) {
-        return line.startsWith(SAYS) ? Long.parseLong(line.substring(SAYS.length())) : 0;
+        return line.startsWith(MAX_PREFIX)
+                ? Long.parseLong(line.substring(MAX_PREFIX.length()))
+                : 0;
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/PersistentCallers.java
+++ b/daemon/src/test/java/cedarrudder/program/PersistentClients.java
@@ -1,8 +1,8 @@
 package cedarrudder.program;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.SocketException;
@@ -14,31 +14,31 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Clients each of which sends requests on one connection until that is closed. */
-final class PersistentCallers {
+/** Clients that each send requests on one connection until it is closed. */
+final class PersistentClients {
 
-    /** Ends of a connection or a request in which nothing is lost. */
+    /** The outcomes of a connection or request in which nothing is lost. */
     private static final List<String> IN_ORDER = List.of("200", "503", "told", "closed before");
 
     private static final int MAX_PAUSE_MILLIS = 30;
 
-    private final World world;
+    private final ProxyHarness harness;
     private final Random random;
     private final List<Thread> threads = new ArrayList<>();
     private final AtomicBoolean anyEnded = new AtomicBoolean();
 
-    /** How many requests and connections ended in which way. */
+    /** The number of requests and connections for each outcome. */
     private final Map<String, Integer> ends = Collections.synchronizedMap(new TreeMap<>());
 
     /**
-     * @param random the pauses between the requests of a client
+     * @param random the source of the pauses between the requests of a client
      */
-    PersistentCallers(World world, Random random) {
-        this.world = world;
+    PersistentClients(ProxyHarness harness, Random random) {
+        this.harness = harness;
         this.random = random;
     }
 
-    /** Starts one; its requests are named so. */
+    /** Starts a client; its request ids begin with this name. */
     void start(String name) {
         Random pauses = new Random(random.nextLong());
         Thread thread = new Thread(() -> run(name, pauses));
@@ -48,18 +48,18 @@
 
     private void run(String name, Random pauses) {
         String last = "none";
-        try (Caller caller = world.caller()) {
+        try (Client client = harness.client()) {
             for (int i = 0; last.equals("none"); i++) {
                 try {
-                    caller.send(
-                            World.request("order", "/api", "x")
+                    client.send(
+                            ProxyHarness.request("order", "/api", "x")
                                     .replace("id-1", name + i)
                                     .replace("30000", "900"));
                 } catch (SocketException e) {
                     last = "closed before";
                     continue;
                 }
-                Received answer = caller.read();
+                Received answer = client.read();
                 if (answer == null) {
                     last = "closed before";
                 } else {
@@ -69,7 +69,7 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            last = e instanceof ConnectException ? "not let in" : "reset: " + e;
+            last = e instanceof ConnectException ? "connection refused" : "reset: " + e;
         }
         ends.merge(last, 1, Integer::sum);
         anyEnded.set(true);
@@ -85,7 +85,7 @@
 
     void awaitEnds() throws InterruptedException {
         for (Thread thread : threads) {
-            Await.end("the end of a caller's connection", thread);
+            Await.end("the end of a client's connection", thread);
         }
     }
 
--- a/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
@@ -6,31 +6,33 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The proxy among scripted clients, endpoints and discovery. */
+/** Tests the proxy with scripted clients, endpoints and discovery. */
 public class ProxyServerScenarioTest {
 
     @Test
-    public void anRpcPassesUnchangedAndItsAnswerComesBack() throws Exception {
-        try (World world = new World(2).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("booking", "/api/x?y=1", "{\"a\":1}", "Idempotency-Key: k1"));
-            Received call = world.call();
-            assertEquals(call.first(), "POST /api/x?y=1 HTTP/1.1");
-            assertEquals(call.body(), "{\"a\":1}");
-            assertEquals(call.field("Req-Id"), "id-1");
-            assertEquals(call.field("Idempotency-Key"), "k1");
-            long left = Long.parseLong(call.field("Req-Deadline-Ms"));
+    public void aRequestIsForwardedUnchangedAndItsAnswerReturned() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(2).start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request(
+                            "booking", "/api/x?y=1", "{\"a\":1}", "Idempotency-Key: k1"));
+            Received request = harness.nextRequest();
+            assertEquals(request.first(), "POST /api/x?y=1 HTTP/1.1");
+            assertEquals(request.body(), "{\"a\":1}");
+            assertEquals(request.field("Req-Id"), "id-1");
+            assertEquals(request.field("Idempotency-Key"), "k1");
+            long left = Long.parseLong(request.field("Req-Deadline-Ms"));
             assertTrue(left > 0 && left < 30_000, "left " + left);
-            call.reply("200 OK", "done", "Content-Type: application/json");
-            Received answer = caller.read();
+            request.reply("200 OK", "done", "Content-Type: application/json");
+            Received answer = client.read();
             assertEquals(answer.first(), "HTTP/1.1 200 OK");
             assertEquals(answer.body(), "done");
             assertEquals(answer.field("Content-Type"), "application/json");
@@ -38,187 +40,192 @@
     }
 
     @Test
-    public void splitAndJoinedBytesAreTheSameRpcs() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            for (char next : World.request("order", "/api", "body").toCharArray()) {
-                caller.send(String.valueOf(next));
+    public void requestsAreParsedHoweverTheirBytesAreSplitOrJoined() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            for (char next : ProxyHarness.request("order", "/api", "body").toCharArray()) {
+                client.send(String.valueOf(next));
             }
-            Received split = world.call();
+            Received split = harness.nextRequest();
             assertEquals(split.body(), "body");
-            caller.send(
-                    World.request("order", "/api/2", "two")
-                            + World.request("lookup", "/api/3", ""));
+            client.send(
+                    ProxyHarness.request("order", "/api/2", "two")
+                            + ProxyHarness.request("lookup", "/api/3", ""));
             split.reply("200 OK", "1");
-            assertEquals(caller.read().body(), "1");
-            Received second = world.call();
+            assertEquals(client.read().body(), "1");
+            Received second = harness.nextRequest();
             assertEquals(second.body(), "two");
             second.reply("200 OK", "2");
-            assertEquals(caller.read().body(), "2");
-            world.call().reply("200 OK", "3");
-            assertEquals(caller.read().body(), "3");
+            assertEquals(client.read().body(), "2");
+            harness.nextRequest().reply("200 OK", "3");
+            assertEquals(client.read().body(), "3");
         }
     }
 
     @Test
-    public void aRefusedConnectionProvesNothingRanSoAnotherNodeIsTried() throws Exception {
-        try (World world = new World(2).start();
-                Caller caller = world.caller()) {
-            world.nodes.get(0).close();
+    public void afterARefusedConnectionAnotherEndpointIsTried() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(2).start();
+                Client client = harness.client()) {
+            harness.nodes.get(0).close();
             for (int i = 0; i < 8; i++) {
-                caller.send(World.request("order", "/api", "x"));
-                world.call().reply("200 OK", "ok");
-                assertEquals(caller.read().body(), "ok");
+                client.send(ProxyHarness.request("order", "/api", "x"));
+                harness.nextRequest().reply("200 OK", "ok");
+                assertEquals(client.read().body(), "ok");
             }
         }
     }
 
     @Test
-    public void whatMayHaveRunIsNotSentAgain() throws Exception {
-        try (World world = new World(2).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            world.call().reset();
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            assertTrue(world.calls.isEmpty());
+    public void aRequestThatMayHaveRunIsNotRetried() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(2).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            harness.nextRequest().reset();
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
     @Test
-    public void whatNeverRanIsRefusedWithAnUnavailableStatus() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            world.call().reply("503 Full", "", "Srv-Declined: 1");
-            assertEquals(caller.read().first(), "HTTP/1.1 503 Service Unavailable");
+    public void aRequestThatNeverRanIsRejectedAsUnavailable() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            harness.nextRequest().reply("503 Full", "", "Srv-Declined: 1");
+            assertEquals(client.read().first(), "HTTP/1.1 503 Service Unavailable");
         }
     }
 
     @Test
-    public void aBodyThatEndsWithItsConnectionIsWhole() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("lookup", "/api", ""));
-            Received call = world.call();
-            call.raw("HTTP/1.1 200 OK\r\n\r\nto the end");
-            call.socket().close();
-            assertEquals(caller.read().body(), "to the end");
+    public void aBodyThatEndsWithItsConnectionIsComplete() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("lookup", "/api", ""));
+            Received request = harness.nextRequest();
+            request.raw("HTTP/1.1 200 OK\r\n\r\nto the end");
+            request.socket().close();
+            assertEquals(client.read().body(), "to the end");
         }
     }
 
-    /** A write on a channel that its endpoint has closed would be a reset, and the request lost. */
+    /**
+     * A write on a connection that its endpoint has closed would be answered by a reset, and the
+     * request lost.
+     */
     @Test
-    public void aChannelThatItsNodeClosedIsNotUsedAgain() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            Received first = world.call();
+    public void aConnectionThatItsEndpointClosedIsNotReused() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received first = harness.nextRequest();
             first.reply("200 OK", "1", "Connection: close");
-            assertEquals(caller.read().body(), "1");
-            caller.send(World.request("order", "/api", "y"));
-            Received second = world.call();
+            assertEquals(client.read().body(), "1");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            Received second = harness.nextRequest();
             assertNotEquals(second.socket().getPort(), first.socket().getPort());
             second.reply("200 OK", "2");
-            assertEquals(caller.read().body(), "2");
+            assertEquals(client.read().body(), "2");
         }
     }
 
     @Test
-    public void aCallerThatLeavesEndsTheAttempt() throws Exception {
-        try (World world = new World(1).start()) {
-            Received call;
-            try (Caller caller = world.caller()) {
-                caller.send(World.request("lookup", "/stays-for-test", ""));
-                call = world.call();
+    public void aClientThatDisconnectsEndsTheAttempt() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start()) {
+            Received request;
+            try (Client client = harness.client()) {
+                client.send(ProxyHarness.request("lookup", "/stays-for-test", ""));
+                request = harness.nextRequest();
             }
-            call.awaitEnd();
+            request.awaitEnd();
         }
     }
 
     @Test
-    public void anRpcIsAnsweredAtItsDeadlineThoughItsNodeIsSilent() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/stays-for-test", "x").replace("30000", "2000"));
-            Received call = world.call();
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            call.awaitEnd();
+    public void aRequestIsAnsweredAtItsDeadlineThoughItsEndpointIsSilent() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(
+                    ProxyHarness.request("order", "/stays-for-test", "x").replace("30000", "2000"));
+            Received request = harness.nextRequest();
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            request.awaitEnd();
         }
     }
 
     @Test
-    public void nonsenseFromANodeEndsOnlyThatAttempt() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            world.call().raw("\u0001\u0002 what\r\n\r\n");
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            caller.send(World.request("order", "/api", "y"));
-            world.call().reply("200 OK", "fine");
-            assertEquals(caller.read().body(), "fine");
+    public void anUnreadableAnswerFailsOnlyThatAttempt() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            harness.nextRequest().raw("\u0001\u0002 what\r\n\r\n");
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            harness.nextRequest().reply("200 OK", "fine");
+            assertEquals(client.read().body(), "fine");
         }
     }
 
-    /** Detects serving on with an old list for good after discovery was away. */
+    /** After an outage of discovery the proxy must not go on with an old list for good. */
     @Test
-    public void aLostWatchIsOpenedAgainFromTheVersionHeld() throws Exception {
-        try (World world = new World(1).start()) {
-            Received watch = World.await(world.lookups);
+    public void aLostWatchIsReopenedFromTheCurrentVersion() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start()) {
+            Received watch = ProxyHarness.await(harness.lookups);
             assertEquals(watch.first(), "GET /catalog/members?follow=1&since=0 HTTP/1.1");
-            watch.raw(World.STREAM);
+            watch.raw(ProxyHarness.STREAM);
             String list =
                     "{\"version\":7,\"full\":true,\"servers\":["
-                            + world.entries("in_service")
+                            + harness.entries("in_service")
                             + "]}\n";
             watch.chunk(list.substring(0, 30));
             watch.chunk(list.substring(30) + "\n");
             watch.reset();
-            Received again = World.await(world.lookups);
+            Received again = ProxyHarness.await(harness.lookups);
             assertEquals(again.first(), "GET /catalog/members?follow=1&since=7 HTTP/1.1");
-            again.raw(World.STREAM);
+            again.raw(ProxyHarness.STREAM);
             again.chunk("no JSON\n");
-            assertEquals(World.await(world.lookups).first(), again.first());
+            assertEquals(ProxyHarness.await(harness.lookups).first(), again.first());
         }
     }
 
-    /**
-     * Detects a proxy that hears nothing where lists are pushed, since its module asks for none.
-     */
+    /** With pushed lists the balancer requests none, so the proxy must open the watch by itself. */
     @Test
-    public void whereListsArePushedTheWatchIsHeldFromTheStart() throws Exception {
-        try (World world = new World(1).with("\"ask\"", "\"push\"").start()) {
+    public void withPushedListsTheWatchIsOpenFromTheStart() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).with("\"ask\"", "\"push\"").start()) {
             for (int i = 0; i < 3; i++) {
-                Received watch = World.await(world.lookups);
+                Received watch = ProxyHarness.await(harness.lookups);
                 assertEquals(watch.first(), "GET /catalog/members?follow=1&since=0 HTTP/1.1");
                 watch.reset();
             }
         }
     }
 
-    /** Detects a gap in the list while the watch moves: the old one tells until then. */
+    /**
+     * No list may be missed while the watch moves: the old watch stays in use until the new one is
+     * answered.
+     */
     @Test
-    public void aMovedDiscoveryIsWatchedAtItsNewAddressWithoutAGap() throws Exception {
-        try (World world = new World(1).start()) {
-            Received old = World.await(world.lookups);
-            old.raw(World.STREAM);
+    public void theWatchMovesToTheNewDiscoveryAddressWithoutAGap() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start()) {
+            Received old = ProxyHarness.await(harness.lookups);
+            old.raw(ProxyHarness.STREAM);
             old.chunk(
                     "{\"version\":7,\"full\":true,\"servers\":["
-                            + world.entries("in_service")
+                            + harness.entries("in_service")
                             + "]}\n");
-            world.reload("{");
-            world.awaitLog("configuration.rejected");
-            world.discovery = world.new Peer(world.lookups);
-            world.reload(world.configuration());
-            Received watch = World.await(world.lookups);
-            assertEquals(watch.socket().getLocalPort(), world.discovery.server.getLocalPort());
+            harness.reload("{");
+            harness.awaitLog("configuration.rejected");
+            harness.discovery = harness.new Peer(harness.lookups);
+            harness.reload(harness.configuration());
+            Received watch = ProxyHarness.await(harness.lookups);
+            assertEquals(watch.socket().getLocalPort(), harness.discovery.server.getLocalPort());
             old.chunk("{\"version\":8,\"full\":false,\"servers\":[]}\n");
-            watch.raw(World.STREAM);
+            watch.raw(ProxyHarness.STREAM);
             watch.chunk("{\"version\":9,\"full\":false,\"servers\":[]}\n");
             old.awaitEnd();
             watch.reset();
-            Received again = World.await(world.lookups);
+            Received again = ProxyHarness.await(harness.lookups);
             assertEquals(again.first(), "GET /catalog/members?follow=1&since=9 HTTP/1.1");
-            assertEquals(again.socket().getLocalPort(), world.discovery.server.getLocalPort());
+            assertEquals(again.socket().getLocalPort(), harness.discovery.server.getLocalPort());
         }
     }
 
@@ -227,134 +234,148 @@
         return new Object[][] {
             {"nonsense\r\n\r\n", "400"},
             {"GET /api HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
-            {World.request("unheard-of", "/api", ""), "400"},
-            {World.request("order", "/api", "x", "Content-Length: 2"), "400"},
-            {World.request("order", "/api", "x", "Content-Length: 1"), "400"},
-            {World.request("order", "/api", "x", "Transfer-Encoding: chunked"), "400"},
-            {World.request("order", "/api", "x").replace("30000", "soon"), "400"},
-            {World.request("order", "/api", "x").replace("30000", "-5"), "400"},
-            {World.request("order", "/api", "x").replace("30000", "0"), "400"},
-            {World.request("order", "/api", "x").replace("30000", "999999999999999999999"), "400"},
-            {World.request("order", "/api", "x").replace("POST", "GET"), "400"},
-            {World.request("order", "/api", "x", "Idempotency-Key: k"), "400"},
-            {World.request("booking", "/api", "x"), "400"},
-            {World.request("lookup", "/api", "x", "Content-Length: 1"), "400"},
-            {World.request("order", "/api", "").replace("Length: 0", "Length: 67108865"), "413"},
-            {World.request("lookup", "/api", "", "A: " + "x".repeat(17 * 1024)), "431"},
+            {ProxyHarness.request("unheard-of", "/api", ""), "400"},
+            {ProxyHarness.request("order", "/api", "x", "Content-Length: 2"), "400"},
+            {ProxyHarness.request("order", "/api", "x", "Content-Length: 1"), "400"},
+            {ProxyHarness.request("order", "/api", "x", "Transfer-Encoding: chunked"), "400"},
+            {ProxyHarness.request("order", "/api", "x").replace("30000", "soon"), "400"},
+            {ProxyHarness.request("order", "/api", "x").replace("30000", "-5"), "400"},
+            {ProxyHarness.request("order", "/api", "x").replace("30000", "0"), "400"},
+            {
+                ProxyHarness.request("order", "/api", "x")
+                        .replace("30000", "999999999999999999999"),
+                "400"
+            },
+            {ProxyHarness.request("order", "/api", "x").replace("POST", "GET"), "400"},
+            {ProxyHarness.request("order", "/api", "x", "Idempotency-Key: k"), "400"},
+            {ProxyHarness.request("booking", "/api", "x"), "400"},
+            {ProxyHarness.request("lookup", "/api", "x", "Content-Length: 1"), "400"},
+            {
+                ProxyHarness.request("order", "/api", "").replace("Length: 0", "Length: 67108865"),
+                "413"
+            },
+            {ProxyHarness.request("lookup", "/api", "", "A: " + "x".repeat(17 * 1024)), "431"},
         };
     }
 
     @Test(dataProvider = "badRequests")
-    public void aBadRequestGetsItsStatusAndAClose(String request, String status) throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            Received answer = caller.send(request).read();
+    public void aBadRequestGetsItsStatusAndTheConnectionIsClosed(String request, String status)
+            throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            Received answer = client.send(request).read();
             assertTrue(answer.first().startsWith("HTTP/1.1 " + status), answer.first());
             assertEquals(answer.field("Connection"), "close");
-            assertNull(caller.read());
-            assertTrue(world.calls.isEmpty());
+            assertNull(client.read());
+            assertTrue(harness.requests.isEmpty());
         }
     }
 
-    /** Detects one client's answer being made for another's request of the same id. */
+    /** A client must not get the answer to another client's request of the same id. */
     @Test
-    public void anIdThatIsOpenIsNotTakenAgain() throws Exception {
-        try (World world = new World(1).start();
-                Caller first = world.caller();
-                Caller second = world.caller()) {
-            first.send(World.request("order", "/api", "x"));
-            Received call = world.call();
+    public void anIdInFlightIsNotAcceptedAgain() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client first = harness.client();
+                Client second = harness.client()) {
+            first.send(ProxyHarness.request("order", "/api", "x"));
+            Received request = harness.nextRequest();
             assertEquals(
-                    second.send(World.request("order", "/api", "y")).read().first(),
+                    second.send(ProxyHarness.request("order", "/api", "y")).read().first(),
                     "HTTP/1.1 400 Bad Request");
-            call.reply("200 OK", "mine");
+            request.reply("200 OK", "mine");
             assertEquals(first.read().body(), "mine");
-            first.send(World.request("order", "/api", "z"));
-            assertEquals(world.call().body(), "z");
+            first.send(ProxyHarness.request("order", "/api", "z"));
+            assertEquals(harness.nextRequest().body(), "z");
         }
     }
 
-    /** Detects silent connections and half requests holding descriptors for good. */
+    /** Silent connections and half requests must not occupy descriptors for good. */
     @Test
-    public void whoSendsNoWholeRequestIsClosedAndWhoWaitsForAnAnswerIsNot() throws Exception {
-        try (World world = new World(1).start();
-                Caller silent = world.caller();
-                Caller half = world.caller();
-                Caller waiting = world.caller();
-                Caller served = world.caller()) {
-            waiting.send(World.request("order", "/api", "x"));
-            Received call = world.call();
-            served.send(World.request("lookup", "/api", "").replace("id-1", "id-2"));
-            world.call().reply("200 OK", "once");
+    public void clientsWithoutACompleteRequestAreClosedAndWaitingClientsAreNot() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client silent = harness.client();
+                Client half = harness.client();
+                Client waiting = harness.client();
+                Client served = harness.client()) {
+            waiting.send(ProxyHarness.request("order", "/api", "x"));
+            Received request = harness.nextRequest();
+            served.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "id-2"));
+            harness.nextRequest().reply("200 OK", "once");
             assertEquals(served.read().body(), "once");
             half.send("POST /api HTTP/1.1\r\nReq-");
             assertNull(silent.read());
             assertNull(half.read());
-            assertNull(served.read()); // it asked once and stayed
-            call.reply("200 OK", "late");
+            assertNull(served.read()); // the client sent one request and stayed connected
+            request.reply("200 OK", "late");
             assertEquals(waiting.read().body(), "late");
         }
     }
 
-    /** Detects running out of descriptors: only those may be closed that wait for nothing. */
+    /**
+     * The proxy must not run out of descriptors; it may close only connections that wait for no
+     * answer.
+     */
     @Test
-    public void atItsBoundTheProxyClosesThoseWhoSaidNothing() throws Exception {
-        List<Caller> silent = new ArrayList<>();
-        try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 16").start();
-                Caller waiting = world.caller()) {
-            waiting.send(World.request("order", "/api", "x"));
-            Received call = world.call();
+    public void atItsConnectionBoundTheProxyClosesSilentClients() throws Exception {
+        List<Client> silent = new ArrayList<>();
+        try (ProxyHarness harness =
+                        new ProxyHarness(1).with("\"sockets\": 1024", "\"sockets\": 16").start();
+                Client waiting = harness.client()) {
+            waiting.send(ProxyHarness.request("order", "/api", "x"));
+            Received request = harness.nextRequest();
             for (int i = 0; i < 40; i++) {
-                silent.add(world.caller());
+                silent.add(harness.client());
             }
-            try (Caller late = world.caller()) {
-                late.send(World.request("lookup", "/api", "").replace("id-1", "id-2"));
-                world.call().reply("200 OK", "late");
+            try (Client late = harness.client()) {
+                late.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "id-2"));
+                harness.nextRequest().reply("200 OK", "late");
                 assertEquals(late.read().body(), "late");
             }
-            call.reply("200 OK", "kept");
+            request.reply("200 OK", "kept");
             assertEquals(waiting.read().body(), "kept");
         }
-        for (Caller caller : silent) {
-            caller.close();
+        for (Client client : silent) {
+            client.close();
         }
     }
 
     /**
-     * A recorded day failed requests whose connections were closed before their first bytes had
-     * come.
+     * On a recorded day requests failed because their connections were closed before their first
+     * bytes had arrived.
      */
     @Test
-    public void atItsBoundTheProxyClosesIdleCallersBeforeThoseThatHaveJustCome() throws Exception {
-        List<Caller> idle = new ArrayList<>();
-        try (World world = new World(1).with("\"sockets\": 1024", "\"sockets\": 16").start()) {
+    public void atItsConnectionBoundTheProxyClosesIdleClientsBeforeNewOnes() throws Exception {
+        List<Client> idle = new ArrayList<>();
+        try (ProxyHarness harness =
+                new ProxyHarness(1).with("\"sockets\": 1024", "\"sockets\": 16").start()) {
             for (int i = 0; i < 8; i++) {
-                idle.add(world.caller());
-                idle.get(i).send(World.request("lookup", "/api", ""));
-                world.call().reply("200 OK", "once");
+                idle.add(harness.client());
+                idle.get(i).send(ProxyHarness.request("lookup", "/api", ""));
+                harness.nextRequest().reply("200 OK", "once");
                 assertEquals(idle.get(i).read().body(), "once");
             }
-            try (Caller first = world.caller();
-                    Caller second = world.caller()) {
+            try (Client first = harness.client();
+                    Client second = harness.client()) {
                 assertNull(idle.get(0).read());
                 assertNull(idle.get(1).read());
-                for (Caller caller : List.of(first, second)) {
-                    caller.send(World.request("lookup", "/api", ""));
-                    world.call().reply("200 OK", "new");
-                    assertEquals(caller.read().body(), "new");
+                for (Client client : List.of(first, second)) {
+                    client.send(ProxyHarness.request("lookup", "/api", ""));
+                    harness.nextRequest().reply("200 OK", "new");
+                    assertEquals(client.read().body(), "new");
                 }
             }
         }
-        for (Caller caller : idle) {
-            caller.close();
+        for (Client client : idle) {
+            client.close();
         }
     }
 
     /**
-     * What can't be read, or has no end, failed and may have run; none of it may reach the client.
+     * Returns answers that can't be parsed or have no end. Such an attempt has failed and may have
+     * run; no part of the answer may reach the client.
      */
     @DataProvider
-    public Object[][] spoiltAnswers() {
+    public Object[][] malformedAnswers() {
         String ok = "HTTP/1.1 200 OK\r\n";
         return new Object[][] {
             {ok + "Content-Length: 3000000000\r\n\r\nx"},
@@ -367,79 +388,79 @@
         };
     }
 
-    @Test(dataProvider = "spoiltAnswers")
-    public void aSpoiltAnswerFailsAtOnceAndIsNeverPassedOn(String answer) throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            Received spoilt = world.call();
-            spoilt.raw(answer);
-            assertEquals(caller.read().first(), "HTTP/1.1 502 Bad Gateway");
-            caller.send(World.request("order", "/api", "y"));
-            Received next = world.call();
-            assertNotEquals(next.socket().getPort(), spoilt.socket().getPort());
+    @Test(dataProvider = "malformedAnswers")
+    public void aMalformedAnswerFailsAtOnceAndIsNeverForwarded(String answer) throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received malformed = harness.nextRequest();
+            malformed.raw(answer);
+            assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            Received next = harness.nextRequest();
+            assertNotEquals(next.socket().getPort(), malformed.socket().getPort());
             next.reply("200 OK", "fine");
-            assertEquals(caller.read().body(), "fine");
+            assertEquals(client.read().body(), "fine");
         }
     }
 
-    /** Detects what is left over from one answer being taken for the next. */
+    /** Bytes left over from one answer must not be mistaken for the next answer. */
     @Test
-    public void bytesBehindAGoodAnswerAnswerNothing() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x"));
-            Received first = world.call();
+    public void bytesAfterACompleteAnswerAreDiscarded() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received first = harness.nextRequest();
             String one = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
             first.raw("HTTP/1.1 103 Early Hints\r\n\r\n" + one + one);
-            assertEquals(caller.read().body(), "one");
-            caller.send(World.request("order", "/api", "y"));
-            Received second = world.call();
+            assertEquals(client.read().body(), "one");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            Received second = harness.nextRequest();
             assertNotEquals(second.socket().getPort(), first.socket().getPort());
             second.reply("200 OK", "two");
-            assertEquals(caller.read().body(), "two");
+            assertEquals(client.read().body(), "two");
         }
     }
 
     /**
-     * Detects a channel to an endpoint that is gone being used for the one that has its address
-     * now.
+     * A connection to a removed endpoint must not be used for another endpoint that now has its
+     * address.
      */
     @Test
-    public void aNodeUnderANewIdGetsAChannelOfItsOwn() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
-            Received watch = World.await(world.lookups);
-            caller.send(World.request("order", "/api", "x"));
-            Received old = world.call();
+    public void anEndpointWithANewIdGetsItsOwnConnection() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
+            Received watch = ProxyHarness.await(harness.lookups);
+            client.send(ProxyHarness.request("order", "/api", "x"));
+            Received old = harness.nextRequest();
             old.reply("200 OK", "old");
-            assertEquals(caller.read().body(), "old");
-            watch.raw(World.STREAM);
+            assertEquals(client.read().body(), "old");
+            watch.raw(ProxyHarness.STREAM);
             watch.chunk(
                     "{\"version\":7,\"full\":false,\"servers\":["
-                            + world.entries("terminated")
+                            + harness.entries("terminated")
                             + ","
-                            + world.entries("in_service").replace("\"n0\"", "\"new\"")
+                            + harness.entries("in_service").replace("\"n0\"", "\"new\"")
                             + "]}\n");
             old.awaitEnd();
-            caller.send(World.request("order", "/api", "y"));
-            Received call = world.call();
-            assertNotEquals(call.socket().getPort(), old.socket().getPort());
-            call.reply("200 OK", "new");
-            assertEquals(caller.read().body(), "new");
+            client.send(ProxyHarness.request("order", "/api", "y"));
+            Received request = harness.nextRequest();
+            assertNotEquals(request.socket().getPort(), old.socket().getPort());
+            request.reply("200 OK", "new");
+            assertEquals(client.read().body(), "new");
         }
     }
 
     @Test
-    public void itIsHealthyOnceItKnowsNodes() throws Exception {
-        try (World empty = new World(0).start();
-                World full = new World(1).start();
-                Caller early = empty.caller();
-                Caller ready = full.caller()) {
+    public void theProxyIsHealthyOnceItHasEndpoints() throws Exception {
+        try (ProxyHarness empty = new ProxyHarness(0).start();
+                ProxyHarness full = new ProxyHarness(1).start();
+                Client early = empty.client();
+                Client ready = full.client()) {
             String health = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
             assertEquals(early.send(health).read().first(), "HTTP/1.1 503 Service Unavailable");
             assertEquals(ready.send(health).read().first(), "HTTP/1.1 200 OK");
-            // A machine that is short of cores makes the loop say so.
+            // On a machine short of cores the event loop logs its delay.
             assertFalse(
                     full.log.toString().replace("WARN loop.delayed", "").contains("WARN"),
                     full.log.toString());
@@ -448,25 +469,25 @@
 
     /**
      * Bytes of the warm-up that are read after its end, such as those of a hedged request of its
-     * last request.
+     * last request, must not reach an endpoint.
      */
     @Test
-    public void whatIsLeftOfTheWarmUpReachesNoNode() throws Exception {
-        try (World world = new World(1).start();
-                Caller caller = world.caller()) {
+    public void leftoverWarmUpRequestsReachNoEndpoint() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1).start();
+                Client client = harness.client()) {
             SplittableRandom random =
                     new SplittableRandom(Long.parseUnsignedLong("8c1f30d27a5be964", 16));
             String id =
                     "warm-up-"
                             + Long.toHexString(random.nextLong())
                             + Long.toHexString(random.nextLong());
-            caller.send(World.request("lookup", "/warm-up", "").replace("id-1", id));
-            assertEquals(caller.read().first(), "HTTP/1.1 200 OK");
-            caller.send(World.request("lookup", "/api", ""));
-            Received call = world.call();
-            assertEquals(call.field("Req-Id"), "id-1");
-            call.reply("200 OK", "done");
-            assertEquals(caller.read().body(), "done");
+            client.send(ProxyHarness.request("lookup", "/warm-up", "").replace("id-1", id));
+            assertEquals(client.read().first(), "HTTP/1.1 200 OK");
+            client.send(ProxyHarness.request("lookup", "/api", ""));
+            Received request = harness.nextRequest();
+            assertEquals(request.field("Req-Id"), "id-1");
+            request.reply("200 OK", "done");
+            assertEquals(client.read().body(), "done");
         }
     }
 }
--- a/daemon/src/test/java/cedarrudder/program/StopIT.java
+++ b/daemon/src/test/java/cedarrudder/program/StopIT.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.IOException;
 import java.net.SocketException;
 import java.nio.file.Files;
@@ -17,57 +17,60 @@
 import org.testng.annotations.Test;
 
 /**
- * The built jar stopped at every point, by SIGKILL and by signals, and started again with what it
- * left.
+ * Tests the built jar stopped at every point, by SIGKILL and by signals, and restarted with the
+ * state that it left.
  */
 public class StopIT {
 
-    /** Moments of a start, in milliseconds after it, at which it is stopped; it takes some 300. */
+    /**
+     * The delays after the beginning of a start at which the process is stopped, in milliseconds; a
+     * start takes some 300.
+     */
     private static final int[] MOMENTS = {0, 40, 80, 120, 160, 200, 240, 280, 320, 400, 500};
 
     private static Path folder() throws IOException {
         return Files.createTempDirectory("stop");
     }
 
-    private static void serveOne(World world, String id) throws Exception {
-        try (Caller caller = world.caller()) {
-            caller.send(World.request("order", "/api", "x").replace("id-1", id));
-            world.call().reply("200 OK", id);
-            assertEquals(caller.read().body(), id);
+    private static void serveOne(ProxyHarness harness, String id) throws Exception {
+        try (Client client = harness.client()) {
+            client.send(ProxyHarness.request("order", "/api", "x").replace("id-1", id));
+            harness.nextRequest().reply("200 OK", id);
+            assertEquals(client.read().body(), id);
         }
     }
 
-    /** Detects a start that leaves something behind which the next one stumbles over. */
+    /** A killed start must leave nothing behind that makes the next start fail. */
     @Test
-    public void aProxyKilledAtAnyMomentOfItsStartStartsAgain() throws Exception {
+    public void aProxyKilledAtAnyMomentOfItsStartCanBeRestarted() throws Exception {
         Path state = folder();
-        try (World world = new World(1)) {
+        try (ProxyHarness harness = new ProxyHarness(1)) {
             for (int moment : MOMENTS) {
-                try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
+                try (ProxyUnderTest proxy = new ProxyUnderTest(harness, state)) {
                     Thread.sleep(moment);
                     proxy.kill();
                 }
             }
-            try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest proxy = new ProxyUnderTest(harness, state)) {
                 proxy.awaitLine("proxy.started");
-                serveOne(world, "after");
+                serveOne(harness, "after");
             }
         }
     }
 
-    /** Detects a start that a SIGTERM meets: it ends in order, whatever it had begun. */
+    /** SIGTERM during the start must end the process in order, whatever it had begun. */
     @Test
-    public void aProxyThatIsToldToEndWithinItsStartEnds() throws Exception {
-        try (World world = new World(1)) {
+    public void sigtermDuringTheStartEndsTheProxy() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1)) {
             for (int moment : MOMENTS) {
-                try (ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
+                try (ProxyUnderTest proxy = new ProxyUnderTest(harness, folder())) {
                     Thread.sleep(moment);
                     proxy.signal("TERM");
-                    String said = proxy.rest();
-                    assertFalse(said.contains("Exception"), moment + " ms: " + said);
-                    // At once it may meet the virtual machine half made, which then says 1, not
-                    // 143.
-                    if (moment > 0 || !said.isBlank()) {
+                    String output = proxy.rest();
+                    assertFalse(output.contains("Exception"), moment + " ms: " + output);
+                    // At 0 ms the signal may reach a virtual machine that is not yet initialised,
+                    // which then exits with 1, not 143.
+                    if (moment > 0 || !output.isBlank()) {
                         proxy.awaitEnd(ProxyUnderTest.TERMINATED);
                     }
                 }
@@ -75,51 +78,51 @@
         }
     }
 
-    /** Detects signals that pile up, and against one that undoes another. */
+    /** Signals must not pile up, and one must not undo another. */
     @Test
-    public void aStormOfSignalsChangesNothingAndTheFirstToEndCounts() throws Exception {
-        try (World world = new World(1);
-                ProxyUnderTest proxy = new ProxyUnderTest(world, folder())) {
+    public void manySighupsDisturbNothingAndTheFirstSigtermStartsTheShutdown() throws Exception {
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest proxy = new ProxyUnderTest(harness, folder())) {
             proxy.awaitLine("proxy.started");
             String pid = Long.toString(proxy.process.pid());
-            Process storm =
+            Process signals =
                     new ProcessBuilder(
                                     "/bin/sh",
                                     "-c",
                                     "for i in $(seq 500); do kill -HUP " + pid + "; done")
                             .start();
-            serveOne(world, "within");
-            Await.end("the end of the storm", storm);
-            serveOne(world, "behind");
+            serveOne(harness, "within");
+            Await.end("the end of the series of signals", signals);
+            serveOne(harness, "behind");
             for (String name : new String[] {"HUP", "TERM", "HUP", "TERM", "HUP"}) {
                 proxy.signal(name);
             }
-            String said = proxy.rest();
-            assertFalse(said.contains("Exception"), said);
-            assertEquals(said.split("proxy.shutdown_started", -1).length - 1, 1, said);
+            String output = proxy.rest();
+            assertFalse(output.contains("Exception"), output);
+            assertEquals(output.split("proxy.shutdown_started", -1).length - 1, 1, output);
             proxy.awaitEnd(ProxyUnderTest.TERMINATED);
         }
     }
 
     /**
-     * Detects a process that outlives SIGTERM for good since a class of its end can't be loaded any
-     * more: somebody has written its jar anew under it. Its clients are served until then.
+     * A process whose jar was overwritten must not outlive SIGTERM for good because a class needed
+     * for the shutdown can't be loaded any more. Its clients are served until then.
      */
     @Test
-    public void aProxyWhoseJarWasReplacedEndsAllTheSame() throws Exception {
+    public void aProxyWhoseJarWasOverwrittenEndsAtSigterm() throws Exception {
         Path jar = folder().resolve("cedarrudder.jar");
         Files.copy(Path.of(ProxyUnderTest.JAR), jar);
-        try (World world = new World(1);
+        try (ProxyHarness harness = new ProxyHarness(1);
                 ProxyUnderTest proxy =
                         new ProxyUnderTest(
-                                world,
+                                harness,
                                 folder(),
                                 "",
                                 List.of(),
                                 List.of("-jar", jar.toString()),
                                 List.of())) {
             proxy.awaitLine("proxy.started");
-            serveOne(world, "before");
+            serveOne(harness, "before");
             byte[] other = new byte[(int) Files.size(jar)];
             Arrays.fill(other, (byte) 'x');
             Files.write(
@@ -134,33 +137,34 @@
     }
 
     /**
-     * Detects a promise that dies with the process: what ran once runs once, a client sees the
-     * break, an endpoint sees that nobody waits, bans and a drain are kept where the folder is.
+     * Guarantees must outlast the process: a request that ran is not run again, a client gets a
+     * visible break, an endpoint sees its connection end, and disabled endpoints and a drain are
+     * persisted where the folder is.
      */
     @Test
-    public void whatWasPromisedBeforeAKillHoldsAfterTheRestart() throws Exception {
+    public void guaranteesGivenBeforeAKillHoldAfterTheRestart() throws Exception {
         Path state = folder();
-        try (World world = new World(2)) {
-            try (ProxyUnderTest proxy = new ProxyUnderTest(world, state)) {
+        try (ProxyHarness harness = new ProxyHarness(2)) {
+            try (ProxyUnderTest proxy = new ProxyUnderTest(harness, state)) {
                 proxy.awaitLine("proxy.started");
-                try (Caller taken = world.caller();
-                        Caller half = world.caller();
-                        Caller large = world.caller()) {
+                try (Client taken = harness.client();
+                        Client half = harness.client();
+                        Client large = harness.client()) {
                     assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 200);
                     assertEquals(proxy.status("POST", "/-/drain"), 200);
                     large.send(
-                            World.request("lookup", "/stays-for-test", "")
+                            ProxyHarness.request("lookup", "/stays-for-test", "")
                                     .replace("id-1", "large"));
-                    world.call()
+                    harness.nextRequest()
                             .raw(
                                     "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"
                                             + "x".repeat(100_000));
                     assertEquals(large.readHead().first(), "HTTP/1.1 200 OK");
                     half.send("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\n");
                     taken.send(
-                            World.request("order", "/stays-for-test", "x")
+                            ProxyHarness.request("order", "/stays-for-test", "x")
                                     .replace("id-1", "taken"));
-                    Received running = world.call();
+                    Received running = harness.nextRequest();
                     proxy.kill();
                     running.awaitEnd();
                     assertBreak(taken);
@@ -168,31 +172,31 @@
                     assertBreak(large);
                 }
             }
-            running(world, state);
+            assertStateRestored(harness, state);
         }
     }
 
-    /** It ends without an answer, or without the rest of one. */
-    private static void assertBreak(Caller caller) throws IOException {
+    /** Checks that the connection ends without an answer, or without the rest of one. */
+    private static void assertBreak(Client client) throws IOException {
         try {
-            assertTrue(caller.in().readAllBytes().length <= 100_000, "more than the node gave");
+            assertTrue(client.in().readAllBytes().length <= 100_000, "more than the endpoint sent");
         } catch (SocketException e) {
-            // a reset is a visible break too
+            // a reset also shows the break
         }
     }
 
-    private static void running(World world, Path state) throws Exception {
-        try (ProxyUnderTest again = new ProxyUnderTest(world, state)) {
+    private static void assertStateRestored(ProxyHarness harness, Path state) throws Exception {
+        try (ProxyUnderTest again = new ProxyUnderTest(harness, state)) {
             again.awaitLine("proxy.started");
-            assertEquals(again.figure("out_of_rotation"), 1, "the ban is kept");
-            try (Caller health = world.caller()) {
+            assertEquals(again.figure("out_of_rotation"), 1, "the endpoint is still disabled");
+            try (Client health = harness.client()) {
                 health.send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertTrue(health.read().first().contains(" 503 "), "the drain is kept");
+                assertTrue(health.read().first().contains(" 503 "), "the proxy is still drained");
             }
             assertEquals(again.status("POST", "/-/resume"), 200);
-            assertTrue(world.calls.isEmpty(), "what ran before the kill was sent again");
+            assertTrue(harness.requests.isEmpty(), "what ran before the kill was sent again");
             for (int i = 0; i < 5; i++) {
-                serveOne(world, "after-" + i);
+                serveOne(harness, "after-" + i);
             }
             assertEquals(again.status("POST", "/-/nodes/n0/enable"), 200);
             again.awaitFigure("out_of_rotation", 0);
@@ -200,18 +204,18 @@
         }
     }
 
-    /** Detects a handover that only holds while both processes live. */
+    /** A handover must also succeed if one of the two processes is killed. */
     @Test
-    public void aKillAtEachStepOfAHandoverLeavesOneThatServes() throws Exception {
+    public void aKillAtEachStepOfAHandoverLeavesOneServingProcess() throws Exception {
         Path state = folder();
-        try (World world = new World(2)) {
-            Nodes.list(world);
-            ProxyUnderTest old = new ProxyUnderTest(world, state);
+        try (ProxyHarness harness = new ProxyHarness(2)) {
+            TestEndpoints.serveFullList(harness);
+            ProxyUnderTest old = new ProxyUnderTest(harness, state);
             old.awaitLine("proxy.started");
             assertEquals(old.status("POST", "/-/nodes/n0/disable"), 200);
-            // The new one is ready and dies: the old one takes its share back, and the ban is as it
-            // was.
-            try (ProxyUnderTest dies = new ProxyUnderTest(world, state)) {
+            // The new process is ready and is killed: the old one takes over its part again, and n0
+            // is enabled, as the new process was asked.
+            try (ProxyUnderTest dies = new ProxyUnderTest(harness, state)) {
                 dies.awaitLine("proxy.started");
                 assertEquals(dies.figure("out_of_rotation"), 1);
                 assertEquals(dies.status("POST", "/-/nodes/n0/enable"), 200);
@@ -219,22 +223,23 @@
             }
             old.awaitLine("successor=false");
             old.awaitFigure("out_of_rotation", 0);
-            serveOne(world, "old");
-            // The old one dies in the midst of giving way: the new one goes on alone.
-            try (ProxyUnderTest next = new ProxyUnderTest(world, state)) {
+            serveOne(harness, "old");
+            // The old process is killed during the handover: the new one continues alone.
+            try (ProxyUnderTest next = new ProxyUnderTest(harness, state)) {
                 next.awaitLine("proxy.started");
                 old.signal("TERM");
                 old.awaitLine("proxy.replaced");
                 old.kill();
                 next.awaitLine("predecessor=false");
-                serveOne(world, "next");
-                // And then the new one dies, too, right after a yes: the next start knows of it.
+                serveOne(harness, "next");
+                // Then the new process is killed, too, right after acknowledging a request: the
+                // next start restores its effect.
                 assertEquals(next.status("POST", "/-/nodes/n0/disable"), 200);
                 next.kill();
             } finally {
                 old.close();
             }
-            try (ProxyUnderTest last = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest last = new ProxyUnderTest(harness, state)) {
                 last.awaitLine("proxy.started");
                 assertEquals(last.figure("out_of_rotation"), 1);
             }
--- a/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import cedarrudder.balancer.Await;
-import cedarrudder.program.World.Caller;
-import cedarrudder.program.World.Received;
+import cedarrudder.program.ProxyHarness.Client;
+import cedarrudder.program.ProxyHarness.Received;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.SocketException;
@@ -20,49 +20,51 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-/** A new version of the built jar, started beside the one that serves. */
+/** Tests a new version of the built jar, started beside the one that serves. */
 public class UpgradeIT {
 
-    private static final int CALLERS = 6;
+    private static final int CLIENTS = 6;
 
     /**
-     * This many requests an upgrade may end at the door, say the users. The kernel resets a
-     * connection that it accepts between the old process's last look at its queue and the close,
-     * some 40 us later; nothing that a Java program can ask of it prevents that
-     * (docs/audit-findings.md, 39).
+     * The max number of requests that the users allow an upgrade to fail at the listening socket.
+     * The kernel resets a connection that it accepts between the old process's last look at its
+     * queue and the close, some 40 us later; no system call available to a Java program prevents
+     * that (docs/audit-findings.md, 39).
      */
-    private static final int AT_THE_DOOR = 2;
+    private static final int MAX_RESET_AT_ACCEPT = 2;
 
-    /** Clients that go on calling, each on its connection for as long as that stays open. */
+    /**
+     * Clients that keep sending requests, each on its connection for as long as that stays open.
+     */
     private static final class Load {
         final AtomicBoolean on = new AtomicBoolean(true);
         final AtomicInteger served = new AtomicInteger();
         final List<String> wrong = new ArrayList<>();
 
-        /** The first requests of connections that were reset before an answer, by id. */
-        final List<String> atTheDoor = new ArrayList<>();
+        /** The ids of first requests on connections that were reset before an answer. */
+        final List<String> resetAtAccept = new ArrayList<>();
 
-        final List<Thread> callers = new ArrayList<>();
+        final List<Thread> clients = new ArrayList<>();
 
         Load(int port) {
-            for (int i = 0; i < CALLERS; i++) {
+            for (int i = 0; i < CLIENTS; i++) {
                 String name = "caller-" + i + "-";
-                Thread caller = new Thread(() -> run(port, name));
-                callers.add(caller);
-                caller.start();
+                Thread client = new Thread(() -> run(port, name));
+                clients.add(client);
+                client.start();
             }
         }
 
         private void run(int port, String name) {
-            Caller open = null;
+            Client open = null;
             for (int i = 0; on.get(); i++) {
                 boolean fresh = open == null;
                 try {
-                    open = fresh ? new Caller(port) : open;
-                    open.send(World.request("order", "/api", "x").replace("id-1", name + i));
+                    open = fresh ? new Client(port) : open;
+                    open.send(ProxyHarness.request("order", "/api", "x").replace("id-1", name + i));
                     Received answer = open.read();
                     if (answer == null || !answer.first().contains(" 200 ")) {
-                        told(wrong, answer == null ? "closed on " + name + i : answer.first());
+                        record(wrong, answer == null ? "closed on " + name + i : answer.first());
                         open = null;
                     } else {
                         served.incrementAndGet();
@@ -73,16 +75,16 @@
                     }
                 } catch (SocketException e) {
                     boolean reset = fresh && !(e instanceof ConnectException);
-                    told(reset ? atTheDoor : wrong, reset ? name + i : name + i + ": " + e);
+                    record(reset ? resetAtAccept : wrong, reset ? name + i : name + i + ": " + e);
                     open = null;
                 } catch (IOException e) {
-                    told(wrong, name + i + ": " + e);
+                    record(wrong, name + i + ": " + e);
                     open = null;
                 }
             }
         }
 
-        private synchronized void told(List<String> where, String what) {
+        private synchronized void record(List<String> where, String what) {
             where.add(what);
         }
 
@@ -93,38 +95,38 @@
 
         void end() throws InterruptedException {
             on.set(false);
-            for (Thread caller : callers) {
-                Await.end("the end of a caller", caller);
+            for (Thread client : clients) {
+                Await.end("the end of a client", client);
             }
         }
     }
 
-    /** Detects clients, bans or requests that fall between the two processes. */
+    /** No client, disabled endpoint or request may be lost between the two processes. */
     @Test
     public void twoVersionsHandOverUnderLoadAndNothingIsLostOrRunTwice() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
         Map<String, Integer> ran = new ConcurrentHashMap<>();
         Map<Integer, Integer> at = new ConcurrentHashMap<>();
-        try (World world = new World(3);
-                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
-            Nodes.play(
-                    world,
-                    call -> {
-                        ran.merge(call.field("Req-Id"), 1, Integer::sum);
-                        at.merge(call.socket().getLocalPort(), 1, Integer::sum);
-                        call.reply("200 OK", "done");
+        try (ProxyHarness harness = new ProxyHarness(3);
+                ProxyUnderTest first = new ProxyUnderTest(harness, state)) {
+            TestEndpoints.handleRequests(
+                    harness,
+                    request -> {
+                        ran.merge(request.field("Req-Id"), 1, Integer::sum);
+                        at.merge(request.socket().getLocalPort(), 1, Integer::sum);
+                        request.reply("200 OK", "done");
                     });
-            Nodes.list(world); // asked by the successor
+            TestEndpoints.serveFullList(harness); // requested by the successor
             first.awaitLine("proxy.started");
             assertEquals(first.status("POST", "/-/nodes/n0/disable"), 200);
-            Load load = new Load(world.port);
+            Load load = new Load(harness.port);
             load.awaitMore(50);
-            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
+            try (ProxyUnderTest second = new ProxyUnderTest(harness, state)) {
                 second.awaitLine("proxy.started");
                 load.awaitMore(50);
                 assertEquals(second.status("GET", "/-/ready"), 200);
                 assertEquals(second.figure("out_of_rotation"), 1);
-                // A call to either counts for both.
+                // A request to either process applies to both.
                 assertEquals(second.status("POST", "/-/nodes/n1/disable"), 200);
                 first.awaitFigure("out_of_rotation", 2);
                 assertEquals(first.status("POST", "/-/nodes/n1/enable"), 200);
@@ -135,11 +137,13 @@
                 load.awaitMore(200);
                 load.end();
                 assertEquals(load.wrong.toString(), "[]");
-                assertTrue(load.atTheDoor.size() <= AT_THE_DOOR, load.atTheDoor.toString());
-                load.atTheDoor.forEach(
-                        id -> assertFalse(ran.containsKey(id), id + " ran unanswered"));
+                assertTrue(
+                        load.resetAtAccept.size() <= MAX_RESET_AT_ACCEPT,
+                        load.resetAtAccept.toString());
+                load.resetAtAccept.forEach(
+                        id -> assertFalse(ran.containsKey(id), id + " ran and was not answered"));
                 assertEquals(ran.values().stream().filter(times -> times != 1).count(), 0);
-                assertEquals(at.get(world.nodes.get(0).server.getLocalPort()), null);
+                assertEquals(at.get(harness.nodes.get(0).server.getLocalPort()), null);
                 assertEquals(second.status("POST", "/-/nodes/n0/enable"), 200);
                 second.signal("TERM");
                 second.awaitLine("proxy.shutdown_started");
@@ -147,16 +151,16 @@
         }
     }
 
-    /** Detects an old process that closes its door before another one can serve. */
+    /** The old process must not close its listening socket before another one can serve. */
     @Test
-    public void whatEndsBesideOneThatIsNotReadyServesOnAsIfItWereAlone() throws Exception {
+    public void aProxyEndingBesideAnUnreadySuccessorShutsDownAsIfItWereAlone() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
-        try (World world = new World(1);
-                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest first = new ProxyUnderTest(harness, state)) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             first.awaitLine("proxy.started");
-            // Not ready as long as discovery gives no list.
-            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
+            // Not ready as long as discovery returns no list.
+            try (ProxyUnderTest second = new ProxyUnderTest(harness, state)) {
                 first.awaitLine("successor=true ready=false");
                 first.signal("TERM");
                 first.awaitLine("proxy.shutdown_started");
@@ -165,23 +169,23 @@
         }
     }
 
-    /** Detects an old process that gives way to one that never served. */
+    /** The old process must not hand over to one that never served. */
     @Test
-    public void aVersionThatDiesBeforeItIsReadyLeavesTheOldOneServing() throws Exception {
+    public void aVersionKilledBeforeItIsReadyLeavesTheOldOneServing() throws Exception {
         Path state = Files.createTempDirectory("upgrade");
-        try (World world = new World(1);
-                ProxyUnderTest first = new ProxyUnderTest(world, state)) {
-            Nodes.play(world, call -> call.reply("200 OK", "done"));
+        try (ProxyHarness harness = new ProxyHarness(1);
+                ProxyUnderTest first = new ProxyUnderTest(harness, state)) {
+            TestEndpoints.handleRequests(harness, request -> request.reply("200 OK", "done"));
             first.awaitLine("proxy.started");
-            Load load = new Load(world.port);
-            try (ProxyUnderTest second = new ProxyUnderTest(world, state)) {
+            Load load = new Load(harness.port);
+            try (ProxyUnderTest second = new ProxyUnderTest(harness, state)) {
                 first.awaitLine("successor=true ready=false");
                 second.kill();
                 first.awaitLine("successor=false");
             }
             load.awaitMore(100);
             load.end();
-            assertEquals(load.wrong.toString() + load.atTheDoor, "[][]");
+            assertEquals(load.wrong.toString() + load.resetAtAccept, "[][]");
             assertEquals(first.status("GET", "/-/ready"), 200);
             first.signal("TERM");
             first.awaitLine("proxy.shutdown_started");
