--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -43,66 +43,67 @@
 import org.testng.annotations.Test;
 
 /**
- * A client's connection from its first byte to its end. The decisions are the test's own: a request
- * waits until the test has it refused, and what the test does on the loop comes between two reads
- * of the listener's.
+ * Tests a client connection from its first byte to its end. The test makes the decisions: a request
+ * waits until the test rejects it, and what the test does on the event loop happens between two
+ * reads of the server.
  */
 public class ClientConnectionTest {
 
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
 
-    /** So long that nothing a test waits for can come of it. */
-    private static final long ENDLESS = 1_000_000_000_000L;
+    /** A timeout that does not expire during a test, in nanoseconds. */
+    private static final long NO_TIMEOUT = 1_000_000_000_000L;
 
-    private static final ClientLimits PATIENT =
+    private static final ClientLimits LIMITS_WITHOUT_TIMEOUTS =
             new ClientLimits(
-                    ENDLESS,
-                    ENDLESS,
-                    ENDLESS,
-                    ENDLESS,
+                    NO_TIMEOUT,
+                    NO_TIMEOUT,
+                    NO_TIMEOUT,
+                    NO_TIMEOUT,
                     ClientLimits.DEFAULT.maxHeadBytes(),
                     ClientLimits.DEFAULT.maxBodyBytes(),
                     0.5);
 
     /**
-     * So long before a stuck end is given up that the end has begun, and nothing is cut off: 3.4
-     * and 3 s.
+     * The time before a shutdown counts as stuck at which it has begun to close connections and no
+     * open request is ended yet: 3.4 and 3 s.
      */
-    private static final long LATE_ON = 3_200_000_000L;
+    private static final long BEFORE_STUCK_NANOS = 3_200_000_000L;
 
-    /** What is asked when a request is taken, on the loop and in the decoder's hands. */
-    private interface Taken {
-        void by(Exchange<HttpMessage, HttpMessage> request, ClientRequest reply) throws Exception;
+    /** Called when a request is accepted, on the event loop and within the decoder. */
+    private interface RequestListener {
+        void onRequest(Exchange<HttpMessage, HttpMessage> request, ClientRequest reply)
+                throws Exception;
     }
 
-    /** A listener whose requests wait for the test. */
+    /** A server whose requests wait for the test. */
     private static final class Service implements AutoCloseable {
-        private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
-        private final Logger log = new Logger(new PrintStream(lines, true));
+        private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
+        private final Logger log = new Logger(new PrintStream(logOutput, true));
         private final ProxyEventLoop loop = new ProxyEventLoop(log);
-        private final BufferAccount held = new BufferAccount(BufferAccount.MAX);
+        private final BufferAccount account = new BufferAccount(BufferAccount.MAX);
         private final BlockingQueue<Long> requests = new LinkedBlockingQueue<>();
         private final BlockingQueue<Object> left = new LinkedBlockingQueue<>();
-        private final BlockingQueue<Throwable> wrong = new LinkedBlockingQueue<>();
+        private final BlockingQueue<Throwable> failures = new LinkedBlockingQueue<>();
         private final CountDownLatch over = new CountDownLatch(1);
-        private volatile Taken taken = (request, caller) -> {};
-        private volatile boolean refusesAtOnce;
+        private volatile RequestListener requestListener = (request, caller) -> {};
+        private volatile boolean rejectsAtOnce;
         private LoadBalancer.Actions actions;
         private final HttpServer listener;
         private final InetSocketAddress at;
 
         Service() throws Exception {
-            RequestForwarder<HttpMessage, HttpMessage> driver =
+            RequestForwarder<HttpMessage, HttpMessage> forwarder =
                     new RequestForwarder<>(
-                            hands -> {
-                                actions = hands;
+                            balancerActions -> {
+                                actions = balancerActions;
                                 return StubFactory.create(
                                         LoadBalancer.class,
                                         (event, with) -> {
                                             if (event.equals("onRequest")) {
                                                 long id = ((LoadBalancer.Request) with[1]).id();
-                                                if (refusesAtOnce) {
+                                                if (rejectsAtOnce) {
                                                     actions.reject(id, 0);
                                                 } else {
                                                     requests.add(id);
@@ -115,8 +116,8 @@
                             1,
                             loop,
                             log);
-            driver.attach(
-                    new NoNodes(),
+            forwarder.attach(
+                    new NoEndpoints(),
                     StubFactory.create(EndpointDiscovery.class, (action, with) -> {}),
                     StubFactory.create(PeerTransport.class, (action, with) -> {}));
             RequestHeaders fields =
@@ -129,13 +130,21 @@
                                                                             "config.json")))
                                                     .child("settings"))
                                     .module());
-            listener = new HttpServer(loop, driver, fields, () -> true, PATIENT, 10, held);
+            listener =
+                    new HttpServer(
+                            loop,
+                            forwarder,
+                            fields,
+                            () -> true,
+                            LIMITS_WITHOUT_TIMEOUTS,
+                            10,
+                            account);
             listener.setInterceptor(
                     (request, reply) -> {
                         try {
-                            taken.by(request, (ClientRequest) reply);
+                            requestListener.onRequest(request, (ClientRequest) reply);
                         } catch (Exception | AssertionError e) {
-                            wrong.add(e);
+                            failures.add(e);
                         }
                         return false;
                     });
@@ -144,12 +153,12 @@
 
         Socket caller() throws IOException {
             Socket caller = new Socket(at.getAddress(), at.getPort());
-            caller.setSoTimeout(PATIENCE_MILLIS);
+            caller.setSoTimeout(TIMEOUT_MILLIS);
             caller.setTcpNoDelay(true);
             return caller;
         }
 
-        /** Runs on the loop, to its end. */
+        /** Runs a task on the event loop and waits for its result. */
         <T> T on(Callable<T> task) throws Exception {
             CompletableFuture<T> done = new CompletableFuture<>();
             loop.run(
@@ -167,8 +176,8 @@
             return Await.next("an RPC", requests);
         }
 
-        /** Has the oldest request that waits refused. */
-        void refuse() throws Exception {
+        /** Rejects the oldest waiting request. */
+        void rejectOldest() throws Exception {
             long id = request();
             on(
                     () -> {
@@ -194,21 +203,21 @@
         }
 
         /**
-         * Ends the service, and runs a task on the loop once answers may be their connections'
-         * last, but before what is open is cut off: by the order of the loop's timers, however late
-         * it is.
+         * Begins a shutdown and runs a task on the event loop once responses may be the last of
+         * their connections, but before open requests are ended: by the order of the loop's timers,
+         * however late it is.
          */
-        void drain(Callable<?> lateOn) throws Exception {
+        void drain(Callable<?> taskDuringClosing) throws Exception {
             on(
                     () -> {
                         listener.shutDown(over::countDown);
                         return loop.at(
-                                loop.now() + listener.maxShutdownNanos() - LATE_ON,
+                                loop.now() + listener.maxShutdownNanos() - BEFORE_STUCK_NANOS,
                                 () -> {
                                     try {
-                                        lateOn.call();
+                                        taskDuringClosing.call();
                                     } catch (Exception e) {
-                                        wrong.add(e);
+                                        failures.add(e);
                                     }
                                 });
                     });
@@ -217,16 +226,16 @@
         @Override
         public void close() {
             CompletableFuture.runAsync(() -> {}, loop::run)
-                    .join(); // behind what it was about to log
+                    .join(); // // after the tasks that may still log
             loop.stop();
-            if (!wrong.isEmpty()) {
-                throw new AssertionError("on the loop", wrong.poll());
+            if (!failures.isEmpty()) {
+                throw new AssertionError("on the loop", failures.poll());
             }
-            assertFalse(lines.toString().contains("failed"), lines.toString());
+            assertFalse(logOutput.toString().contains("failed"), logOutput.toString());
         }
     }
 
-    private static final class NoNodes implements AttemptTransport<HttpMessage, HttpMessage> {
+    private static final class NoEndpoints implements AttemptTransport<HttpMessage, HttpMessage> {
         @Override
         public boolean knowsEndpoint(long endpoint) {
             return false;
@@ -258,7 +267,10 @@
         caller.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The head of the next answer, its body read too; empty at the end. */
+    /**
+     * Returns the head of the next response after reading its body too; empty at the end of the
+     * stream.
+     */
     private static String read(Socket caller) throws IOException {
         InputStream in = caller.getInputStream();
         StringBuilder head = new StringBuilder();
@@ -282,10 +294,11 @@
     }
 
     /**
-     * Detects a request that is forwarded for a client that has gone: its end stands behind bytes.
+     * A request must not be forwarded if its client has disconnected, even if the end of stream
+     * follows unread bytes.
      */
     @Test
-    public void anEndBehindBytesThatWaitEndsTheOpenRpc() throws Exception {
+    public void aDisconnectBehindUnreadBytesEndsTheOpenRequest() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             try (Service service = new Service()) {
                 Socket caller = service.caller();
@@ -293,19 +306,24 @@
                 long id = service.request();
                 send(caller, request("2") + request("3"));
                 Await.until(
-                        "the bytes behind it are kept",
-                        () -> service.on(service.held::bufferedBytes) > 0);
+                        "the bytes behind it are buffered",
+                        () -> service.on(service.account::bufferedBytes) > 0);
                 leave(caller, reset);
                 assertEquals(Await.next("the end seen", service.left), id);
-                Await.until("nothing is kept", () -> service.on(service.held::bufferedBytes) == 0);
-                assertTrue(service.requests.isEmpty(), "what stood behind it goes nowhere");
+                Await.until(
+                        "nothing is buffered",
+                        () -> service.on(service.account::bufferedBytes) == 0);
+                assertTrue(service.requests.isEmpty(), "the requests behind it are not forwarded");
             }
         }
     }
 
-    /** Detects memory that a client fills by sending ahead, and against what is kept being lost. */
+    /**
+     * A client that sends requests ahead must not use memory without limit, and none of the
+     * buffered requests may be lost.
+     */
     @Test
-    public void whatIsKeptAheadIsBoundedAndThenAnswered() throws Exception {
+    public void pipelinedRequestsAreBufferedWithinALimitAndAnswered() throws Exception {
         int behind = 40_000;
         try (Service service = new Service();
                 Socket caller = service.caller()) {
@@ -330,11 +348,13 @@
                                 }
                             });
             Await.until(
-                    "reading ahead", () -> service.on(service.held::bufferedBytes) >= 32 * 1024);
+                    "reading ahead", () -> service.on(service.account::bufferedBytes) >= 32 * 1024);
             for (int i = 0; i < 1000; i++) {
-                assertTrue(service.on(service.held::bufferedBytes) <= 128 * 1024, "kept too much");
+                assertTrue(
+                        service.on(service.account::bufferedBytes) <= 128 * 1024,
+                        "too many bytes are buffered");
             }
-            service.refuse();
+            service.rejectOldest();
             assertTrue(read(caller).startsWith("HTTP/1.1 503"));
             for (int i = 0; i < behind; i++) {
                 assertTrue(read(caller).startsWith("HTTP/1.1 200"), "answer " + i);
@@ -344,26 +364,30 @@
     }
 
     /**
-     * Detects answers long after their time: that of a request starts with its last byte, also
-     * where it waits behind another one; and one that came later has its own.
+     * The timeout of a request starts with its last byte, even if it waits behind another one, and
+     * that of a request received later starts later; otherwise responses are sent long after their
+     * time.
      */
     @Test
-    public void theTimeOfARequestStartsAsItIsReadAndNotAsItIsItsTurn() throws Exception {
+    public void theTimeoutOfARequestStartsWhenItIsReceivedAndNotWhenItIsProcessed()
+            throws Exception {
         long wait = TimeUnit.SECONDS.toNanos(900);
         try (Service service = new Service();
                 Socket caller = service.caller()) {
             List<Long> deadlines = new ArrayList<>();
-            service.taken = (request, reply) -> deadlines.add(request.request().deadline());
+            service.requestListener =
+                    (request, reply) -> deadlines.add(request.request().deadline());
             send(caller, request("1"));
             Await.until("the first is taken", () -> service.requests.size() == 1);
             send(caller, request("2"));
-            Await.until("the second is kept", () -> service.on(service.held::bufferedBytes) > 0);
+            Await.until(
+                    "the second is buffered", () -> service.on(service.account::bufferedBytes) > 0);
             long kept = System.nanoTime();
             Await.until(
                     "a second later", () -> System.nanoTime() - kept > TimeUnit.SECONDS.toNanos(1));
             send(caller, request("3"));
             for (int i = 0; i < 3; i++) {
-                service.refuse();
+                service.rejectOldest();
                 read(caller);
             }
             assertTrue(
@@ -373,14 +397,17 @@
         }
     }
 
-    /** Detects an end that the kernel has and the loop has not, since it is late. */
+    /**
+     * A disconnect that the kernel has received must be detected even if the event loop is late and
+     * has not read it.
+     */
     @Test
-    public void aLookFindsTheEndBehindWhatHasCome() throws Exception {
+    public void aCheckDetectsTheDisconnectBehindUnreadBytes() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             try (Service service = new Service()) {
                 BlockingQueue<Boolean> waits = new LinkedBlockingQueue<>();
                 Socket caller = service.caller();
-                service.taken =
+                service.requestListener =
                         (request, reply) -> {
                             waits.add(reply.isClientWaiting());
                             send(caller, request("2"));
@@ -400,14 +427,14 @@
     }
 
     /**
-     * Detects bytes that are lost or come out of order where a look brings them while others are
-     * being decoded: whole requests, halves, and pieces of a body that flows.
+     * Bytes must not be lost or reordered if a check of the socket reads them while others are
+     * being decoded: complete requests, partial ones, and pieces of a streamed body.
      */
     @Test
-    public void whatALookBringsWithinADecodeKeepsItsOrder() throws Exception {
+    public void bytesReadWithinADecodeKeepTheirOrder() throws Exception {
         try (Service service = new Service();
                 Socket caller = service.caller()) {
-            service.taken =
+            service.requestListener =
                     (request, reply) -> {
                         if (request.request().id() > 3) {
                             return;
@@ -420,7 +447,7 @@
                     };
             send(caller, request("1") + HEALTH);
             for (int i = 0; i < 4; i++) {
-                service.refuse();
+                service.rejectOldest();
                 assertTrue(read(caller).startsWith("HTTP/1.1 503"), "RPC " + i);
                 if (i == 0) {
                     assertTrue(read(caller).startsWith("HTTP/1.1 200"));
@@ -429,9 +456,11 @@
         }
     }
 
-    /** The same where the decoder itself hands on the pieces, of which several came at once. */
+    /**
+     * The same if the decoder itself passes on the pieces, of which several were received at once.
+     */
     @Test
-    public void whatALookBringsWithinAFlowKeepsItsOrder() throws Exception {
+    public void bytesReadWithinAStreamedBodyKeepTheirOrder() throws Exception {
         int first = 200;
         int all = 400;
         StringBuilder body = new StringBuilder();
@@ -447,7 +476,7 @@
             AtomicInteger sent = new AtomicInteger(first);
             ByteArrayOutputStream got = new ByteArrayOutputStream();
             CompletableFuture<String> whole = new CompletableFuture<>();
-            service.taken =
+            service.requestListener =
                     (request, reply) -> {
                         BodyFlow flow = request.content().rest().flow();
                         got.writeBytes(request.content().body());
@@ -459,7 +488,7 @@
                                         }
                                         reply.isClientWaiting();
                                     } catch (IOException e) {
-                                        service.wrong.add(e);
+                                        service.failures.add(e);
                                     }
                                     for (byte[] piece = flow.take();
                                             piece != null;
@@ -491,16 +520,17 @@
     }
 
     /**
-     * Detects a fault, or a second answer, where a request is answered from within the decoder's
-     * hands: behind the piece that does it stand others, and the body's end, or what can't be read.
+     * A request that is answered within the decoder must cause no fault and no second response:
+     * further pieces follow the one that causes the answer, and the end of the body, or malformed
+     * bytes.
      */
     @Test
-    public void anAnswerFromWithinAFlowIsTheOnlyOne() throws Exception {
+    public void aResponseFromWithinAStreamedBodyIsTheOnlyOne() throws Exception {
         for (String end : List.of("0\r\n\r\n", "no chunk\r\n")) {
             try (Service service = new Service();
                     Socket caller = service.caller()) {
                 String chunk = "400\r\n" + "x".repeat(1024) + "\r\n";
-                service.taken =
+                service.requestListener =
                         (request, reply) -> {
                             request.content()
                                     .rest()
@@ -510,8 +540,8 @@
                                                     service.actions.reject(
                                                             request.request().id(), 0));
                             send(caller, chunk.repeat(3) + end);
-                            assertTrue(reply.isClientWaiting()); // so that all of it is in the
-                            // decoder's hands
+                            assertTrue(reply.isClientWaiting()); // // so that the decoder processes
+                            // all of it at once
                         };
                 send(
                         caller,
@@ -529,9 +559,12 @@
         }
     }
 
-    /** Detects requests that were whole behind the open one as its connection was to end. */
+    /**
+     * Requests that were received completely behind the open one must be answered when their
+     * connection is about to end.
+     */
     @Test
-    public void whatStandsBehindTheLastRequestIsAnsweredToo() throws Exception {
+    public void requestsPipelinedBehindTheLastOneAreAnswered() throws Exception {
         for (boolean byHand : new boolean[] {true, false}) {
             try (Service service = new Service();
                     Socket caller = service.caller();
@@ -549,8 +582,8 @@
                 } else {
                     service.replace();
                 }
-                assertEquals(idle.getInputStream().read(), -1, "callers are being sent away");
-                // On the loop, which has then read none of it when it answers the first.
+                assertEquals(idle.getInputStream().read(), -1, "clients are being disconnected");
+                // // On the event loop, which has then read none of it when it answers the first.
                 long id = service.request();
                 service.on(
                         () -> {
@@ -563,7 +596,7 @@
                     assertTrue(answer.startsWith("HTTP/1.1 503"), "answer " + i + ": " + answer);
                     assertEquals(answer.contains("Connection: close"), i == 3, "answer " + i);
                     if (i < 3) {
-                        service.refuse();
+                        service.rejectOldest();
                     }
                 }
                 assertEquals(caller.getInputStream().read(), -1);
@@ -572,12 +605,11 @@
     }
 
     /**
-     * Detects requests that were read and get no answer: they stand behind one that is answered in
-     * the decoder's hands, as the service ends and each connection on which nothing is open is
-     * closed.
+     * Requests that were read must be answered. They follow one that is answered within the
+     * decoder, while the server shuts down and closes each connection without an open request.
      */
     @Test
-    public void whatStandsBehindAnAnswerAtOnceIsAnsweredToo() throws Exception {
+    public void requestsPipelinedBehindAnImmediateResponseAreAnswered() throws Exception {
         for (String atOnce : List.of(HEALTH, request("2"))) {
             try (Service service = new Service();
                     Socket caller = service.caller()) {
@@ -585,7 +617,7 @@
                 long id = service.request();
                 service.drain(
                         () -> {
-                            service.refusesAtOnce = true;
+                            service.rejectsAtOnce = true;
                             send(caller, atOnce + request("3") + request("4"));
                             service.actions.reject(id, 0);
                             return null;
@@ -600,14 +632,14 @@
         }
     }
 
-    /** Detects requests that get no answer, since one they stand behind is cut off at the end. */
+    /** Requests behind one that is ended by the shutdown must be answered. */
     @Test
-    public void whatStandsBehindWhatIsCutOffIsAnsweredToo() throws Exception {
+    public void requestsPipelinedBehindAnEndedRequestAreAnswered() throws Exception {
         try (Service service = new Service();
                 Socket caller = service.caller()) {
             send(caller, request("1") + request("2") + request("3"));
             Await.until("it is taken", () -> service.requests.size() == 1);
-            service.refusesAtOnce = true;
+            service.rejectsAtOnce = true;
             service.drain();
             for (int i = 1; i <= 3; i++) {
                 String answer = read(caller);
@@ -619,16 +651,16 @@
     }
 
     /**
-     * Detects a body that begins to flow to an endpoint behind a request that was cut off, and is
-     * broken off there by the end of the process: what flows has a longer time, but not past that
-     * moment.
+     * A body must not begin to be streamed to an endpoint behind a request that was ended by the
+     * shutdown, because the end of the process would cut it off: a streamed request has a longer
+     * deadline, but not past the end of the process.
      */
     @Test
-    public void aLargeBodyBehindWhatIsCutOffHasNoTimeLeft() throws Exception {
+    public void aLargeBodyBehindAnEndedRequestHasNoTimeLeft() throws Exception {
         try (Service service = new Service();
                 Socket caller = service.caller()) {
             BlockingQueue<Long> left = new LinkedBlockingQueue<>();
-            service.taken =
+            service.requestListener =
                     (request, reply) -> left.add(request.request().deadline() - service.loop.now());
             send(
                     caller,
@@ -639,7 +671,7 @@
                             + "x".repeat(80_000));
             assertTrue(Await.next("the first RPC", left) > 0);
             Await.until("it is taken", () -> service.requests.size() == 1);
-            service.refusesAtOnce = true;
+            service.rejectsAtOnce = true;
             service.drain();
             assertTrue(Await.next("the one behind it", left) <= 0, "it has time left");
             assertTrue(read(caller).startsWith("HTTP/1.1 503"));
@@ -647,9 +679,9 @@
         }
     }
 
-    /** Detects a client that sends ahead for good and so holds its connection. */
+    /** A client that sends requests without end must not keep its connection open for ever. */
     @Test
-    public void whoSendsAheadWithoutEndIsLetGo() throws Exception {
+    public void aClientThatPipelinesWithoutEndIsDisconnected() throws Exception {
         try (Service service = new Service();
                 Socket caller = service.caller()) {
             send(caller, request("0"));
@@ -657,7 +689,7 @@
             int answers = 0;
             for (String answer = ""; !answer.contains("Connection: close"); answers++) {
                 send(caller, request("" + (answers + 1)));
-                service.refuse();
+                service.rejectOldest();
                 answer = read(caller);
                 assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
             }
@@ -667,17 +699,17 @@
     }
 
     /**
-     * Detects a request that is forwarded though its client has been shown the end, and against a
-     * reset that takes what the client has not read yet: behind a last answer, and on a connection
-     * that rested. The loop itself sends, right behind the end of its output.
+     * A request must not be forwarded after its client was sent the end of the output, nor may a
+     * reset destroy a response that the client has not read yet: after a last response, and on an
+     * idle connection. The event loop itself sends, right after the end of its output.
      */
     @Test
-    public void whatComesBehindTheEndOfOurOutputIsReadAndDropped() throws Exception {
+    public void inputAfterTheEndOfTheOutputIsReadAndDropped() throws Exception {
         for (boolean told : new boolean[] {true, false}) {
             try (Service service = new Service();
                     Socket caller = service.caller()) {
                 BlockingQueue<ClientConnection> ends = new LinkedBlockingQueue<>();
-                service.taken = (request, reply) -> ends.add(reply.connection());
+                service.requestListener = (request, reply) -> ends.add(reply.connection());
                 send(caller, request("1", told ? "Connection: close\r\n" : ""));
                 long id = service.request();
                 service.on(
@@ -701,11 +733,11 @@
     }
 
     /**
-     * Detects a request that has come on a connection that is closed for want of room, also where
-     * it is answered at once, and the connection is between requests again.
+     * A request must be processed that was received on a connection chosen for eviction, even if it
+     * is answered at once, and the connection is between requests again.
      */
     @Test
-    public void whoIsToMakeRoomIsReadFirst() throws Exception {
+    public void pendingInputIsReadBeforeAnEviction() throws Exception {
         for (boolean atOnce : new boolean[] {false, true}) {
             try (Service service = new Service();
                     Socket asks = service.caller();
@@ -714,18 +746,18 @@
                     send(caller, HEALTH);
                     read(caller);
                 }
-                service.refusesAtOnce = atOnce;
+                service.rejectsAtOnce = atOnce;
                 service.on(
                         () -> {
                             send(asks, request("1"));
-                            service.listener.apply(PATIENT, 1);
+                            service.listener.apply(LIMITS_WITHOUT_TIMEOUTS, 1);
                             return null;
                         });
                 if (!atOnce) {
-                    service.refuse();
+                    service.rejectOldest();
                 }
                 assertTrue(read(asks).startsWith("HTTP/1.1 503"));
-                assertEquals(rests.getInputStream().read(), -1, "the other goes");
+                assertEquals(rests.getInputStream().read(), -1, "the other one is closed");
                 send(asks, HEALTH);
                 assertTrue(read(asks).startsWith("HTTP/1.1 200"));
             }
@@ -733,11 +765,11 @@
     }
 
     /**
-     * Detects the last answer of a connection being lost as it makes room: closed over bytes that
-     * have come, it is reset. One that is not takes another byte.
+     * The last response of a connection must not be lost by its eviction: a close with unread bytes
+     * resets it. A connection without unread bytes is evicted instead.
      */
     @Test
-    public void whoHasItsLastAnswerIsReadBeforeItMakesRoom() throws Exception {
+    public void pendingInputIsReadBeforeAConnectionWithItsLastResponseIsEvicted() throws Exception {
         try (Service service = new Service();
                 Socket told = service.caller();
                 Socket rests = service.caller()) {
@@ -749,7 +781,7 @@
                     () -> {
                         service.actions.reject(id, 0);
                         send(told, request("late"));
-                        service.listener.apply(PATIENT, 1);
+                        service.listener.apply(LIMITS_WITHOUT_TIMEOUTS, 1);
                         return null;
                     });
             Await.until("there is room", () -> service.on(service.listener::clients) == 1);
@@ -760,16 +792,14 @@
         }
     }
 
-    /**
-     * Detects a connection that goes on in a state nobody thought of, and against others paying.
-     */
+    /** A connection must be closed if an illegal event occurs, and no other connection with it. */
     @Test
-    public void whatCanNotComeInAStateEndsItsConnectionAlone() throws Exception {
+    public void anIllegalEventClosesItsConnectionOnly() throws Exception {
         try (Service service = new Service();
                 Socket caller = service.caller();
                 Socket other = service.caller()) {
             BlockingQueue<ClientConnection> taken = new LinkedBlockingQueue<>();
-            service.taken = (request, reply) -> taken.add(reply.connection());
+            service.requestListener = (request, reply) -> taken.add(reply.connection());
             for (Socket each : List.of(caller, other)) {
                 send(each, request(each == caller ? "1" : "2"));
                 Await.until("it is taken", () -> service.requests.size() == 1);
@@ -780,26 +810,31 @@
                             () -> {
                                 broken.on(ClientConnectionState.Event.WRITTEN);
                                 service.actions.reject(
-                                        id, 0); // which comes before the loop tells of the close
+                                        id, 0); // // which occurs before the event loop reports the
+                                // close
                                 return null;
                             });
                     assertEquals(caller.getInputStream().read(), -1);
                 }
             }
-            service.refuse();
+            service.rejectOldest();
             assertTrue(read(other).startsWith("HTTP/1.1 503"));
             assertTrue(
-                    service.lines.toString().contains("client.failed"), service.lines.toString());
+                    service.logOutput.toString().contains("client.failed"),
+                    service.logOutput.toString());
             assertTrue(
-                    service.lines.toString().contains("WRITTEN in REQUEST_OPEN"),
-                    service.lines.toString());
-            service.lines.reset();
+                    service.logOutput.toString().contains("WRITTEN in REQUEST_OPEN"),
+                    service.logOutput.toString());
+            service.logOutput.reset();
         }
     }
 
-    /** Detects half a request, and a client that does not hear the end, holding the process. */
+    /**
+     * A partial request, or a client that does not react to the end of the output, must not delay
+     * the end of the process.
+     */
     @Test
-    public void halfARequestDoesNotHoldTheEnd() throws Exception {
+    public void aPartialRequestDoesNotDelayTheEndOfTheProcess() throws Exception {
         List<Socket> callers = new ArrayList<>();
         try (Service service = new Service()) {
             for (String text : List.of("GET /a", HEALTH + "POST /api HT", HEALTH)) {
--- a/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/DiscoveryClientTest.java
@@ -31,46 +31,47 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-/** Calls to discovery, played by a socket of the test's. */
+/** Tests calls to discovery, which the test simulates with a socket. */
 public class DiscoveryClientTest {
 
     private static final long STARTED = 1_700_000_000_000L;
 
     /**
-     * The whole list is asked for this long after endpoints of it were left out, in nanoseconds.
+     * The time after which the whole list is requested again if endpoints were left out, in
+     * nanoseconds.
      */
-    private static final long AGAIN = 300_000_000L;
+    private static final long REFETCH_DELAY_NANOS = 300_000_000L;
 
     private static final String STREAM = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static final String FOLLOW = "/catalog/members?follow=1&since=";
 
-    /** So long that a test whose call waits for it fails, in nanoseconds. */
+    /** A wait so long that a test whose call waits for it fails, in nanoseconds. */
     private static final long NEVER_SOON = 600_000_000_000L;
 
-    private final BlockingQueue<EndpointList> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<EndpointList> updates = new LinkedBlockingQueue<>();
     private volatile boolean broken;
 
-    /** Bytes for endpoints and their lists; 0: all are loaded. */
+    /** The capacity for endpoints and their lists, in bytes; 0: all are loaded. */
     private long room;
 
-    private EndpointListReader gate;
+    private EndpointListReader listReader;
 
     /** The version of the list with which the client starts. */
-    private long known;
+    private long initialVersion;
 
-    /** What a test does with a client whose watch is open. */
-    private interface Story {
+    /** The actions of a test on a client whose watch is open. */
+    private interface TestActions {
         void play(ProxyEventLoop loop, DiscoveryClient client, ServerSocket discovery, Socket watch)
                 throws Exception;
     }
 
-    private void play(Runnable failed, Story story) throws Exception {
-        play(0, failed, story);
+    private void play(Runnable failed, TestActions actions) throws Exception {
+        play(0, failed, actions);
     }
 
-    private void play(long longest, Runnable failed, Story story) throws Exception {
-        told.clear();
+    private void play(long maxBackoffNanos, Runnable failed, TestActions actions) throws Exception {
+        updates.clear();
         JsonObject example = JsonObject.parse(Files.readString(Path.of("example", "config.json")));
         ProxyEventLoop loop =
                 new ProxyEventLoop(new Logger(new PrintStream(OutputStream.nullOutputStream())));
@@ -80,7 +81,7 @@
                             SettingsReader.read(example.child("settings")),
                             loop::now,
                             System::currentTimeMillis);
-            gate =
+            listReader =
                     room == 0
                             ? null
                             : new EndpointListReader(
@@ -94,19 +95,19 @@
                             new InetSocketAddress(
                                     InetAddress.getLoopbackAddress(), discovery.getLocalPort()),
                             DiscoveryTimeouts.DEFAULT,
-                            longest,
+                            maxBackoffNanos,
                             new SplittableRandom(1),
                             reader,
-                            known,
+                            initialVersion,
                             this::take,
                             failed,
-                            gate,
-                            AGAIN);
+                            listReader,
+                            REFETCH_DELAY_NANOS);
             discovery.setSoTimeout(20_000);
             loop.run(() -> client.watch(true));
             try (Socket watch = discovery.accept()) {
                 watch.getOutputStream().write(STREAM.getBytes());
-                story.play(loop, client, discovery, watch);
+                actions.play(loop, client, discovery, watch);
             }
         } finally {
             loop.stop();
@@ -117,10 +118,10 @@
         if (broken) {
             throw new IllegalStateException("broken on purpose");
         }
-        told.add(result);
+        updates.add(result);
     }
 
-    private static DiscoveryTimeouts patience(long call, long again, long watch) {
+    private static DiscoveryTimeouts timeouts(long call, long again, long watch) {
         return new DiscoveryTimeouts(call * 1_000_000, again * 1_000_000, watch * 1_000_000, 0);
     }
 
@@ -129,7 +130,7 @@
                 .write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes());
     }
 
-    private static void tell(Socket watch, long version, boolean full, String state)
+    private static void sendList(Socket watch, long version, boolean full, String state)
             throws IOException {
         String line =
                 "{\"version\":"
@@ -146,9 +147,9 @@
         chunk(watch, line);
     }
 
-    /** Detects a list call that fails being taken for a watch that broke, and is opened anew. */
+    /** A list call that fails must not count as a failed watch, which would be opened again. */
     @Test
-    public void aListCallThatFailsIsNoFailureOfTheWatch() throws Exception {
+    public void aFailedListCallIsNoFailureOfTheWatch() throws Exception {
         AtomicInteger failures = new AtomicInteger();
         play(
                 failures::incrementAndGet,
@@ -165,65 +166,68 @@
                                 .write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes());
                         assertEquals(
                                 second.getInputStream().readAllBytes().length > 0,
-                                true); // its end: told by now
+                                true); // // the end of the call, which has been reported by now
                     }
-                    tell(watch, 1, true, "in_service");
-                    assertNotNull(told.poll(20, TimeUnit.SECONDS), "the watch stands");
+                    sendList(watch, 1, true, "in_service");
+                    assertNotNull(updates.poll(20, TimeUnit.SECONDS), "the watch is open");
                     assertEquals(failures.get(), 0);
                 });
     }
 
-    /** Detects a watch that stands, and is read no more, after a fault with one of its lines. */
+    /**
+     * A watch must not stay open without being read after an exception while one of its lines was
+     * processed.
+     */
     @Test
-    public void aFaultWithALineIsToldAsALostWatch() throws Exception {
+    public void anExceptionWhileALineIsProcessedIsReportedAsALostWatch() throws Exception {
         Semaphore failures = new Semaphore(0);
         broken = true;
         play(
                 failures::release,
                 (loop, client, discovery, watch) -> {
-                    // So long that its silence is not what tells.
-                    loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 600_000)));
-                    tell(watch, 1, true, "in_service");
+                    // // So long that the failure is not detected by silence.
+                    loop.run(() -> client.setTimeouts(timeouts(600_000, 600_000, 600_000)));
+                    sendList(watch, 1, true, "in_service");
                     assertEquals(failures.tryAcquire(20, TimeUnit.SECONDS), true);
-                    watch.getInputStream().readAllBytes(); // the proxy has closed it
+                    watch.getInputStream().readAllBytes(); // // closed by the proxy
                 });
         broken = false;
     }
 
-    /** Detects memory that a line of a list without an end uses up. */
+    /** A line of a list that never ends must not use up the memory. */
     @Test
-    public void aLineWithoutAnEndIsToldAsALostWatch() throws Exception {
+    public void aLineWithoutAnEndIsReportedAsALostWatch() throws Exception {
         Semaphore failures = new Semaphore(0);
         play(
                 failures::release,
                 (loop, client, discovery, watch) -> {
-                    loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 600_000)));
+                    loop.run(() -> client.setTimeouts(timeouts(600_000, 600_000, 600_000)));
                     byte[] piece = ("100000\r\n" + "x".repeat(0x100000) + "\r\n").getBytes();
                     try {
                         for (int i = 0; i < 8; i++) {
                             watch.getOutputStream().write(piece);
                         }
                     } catch (IOException e) {
-                        // closed, as it should be
+                        // // closed, as expected
                     }
                     assertEquals(failures.tryAcquire(20, TimeUnit.SECONDS), true);
                 });
     }
 
     /**
-     * Detects a list that stands still for good, since the network to discovery was cut, or since
-     * the pieces of a line that never ends count as life.
+     * The list must not stay outdated for ever because the network to discovery is cut, or because
+     * the pieces of a line that never ends count as heartbeats.
      */
     @Test
-    public void aWatchThatFallsSilentIsOpenedAnewAtOnce() throws Exception {
+    public void aSilentWatchIsOpenedAgainAtOnce() throws Exception {
         for (boolean drips : new boolean[] {false, true}) {
             AtomicInteger failures = new AtomicInteger();
             play(
                     failures::incrementAndGet,
                     (loop, client, discovery, watch) -> {
-                        loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 300)));
-                        tell(watch, 1, true, "in_service");
-                        assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                        loop.run(() -> client.setTimeouts(timeouts(600_000, 600_000, 300)));
+                        sendList(watch, 1, true, "in_service");
+                        assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                         discovery.setSoTimeout(50);
                         Socket again = null;
                         for (int i = 0; i < 200 && again == null; i++) {
@@ -233,30 +237,33 @@
                                 }
                                 again = discovery.accept();
                             } catch (SocketTimeoutException e) {
-                                // not yet
+                                // // not yet
                             } catch (IOException e) {
-                                again = discovery.accept(); // closed, as it should be
+                                again = discovery.accept(); // // closed, as expected
                             }
                         }
-                        assertNotNull(again, "asked anew");
+                        assertNotNull(again, "requested again");
                         again.getOutputStream().write(STREAM.getBytes());
-                        tell(again, 2, false, "terminating");
-                        assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 2);
-                        assertEquals(failures.get(), 0, "the module need not ask");
+                        sendList(again, 2, false, "terminating");
+                        assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 2);
+                        assertEquals(failures.get(), 0, "the balancer need not poll");
                         again.close();
                     });
         }
     }
 
-    /** Detects waiting for an answer that never comes, or stops half way, until it is given up. */
+    /**
+     * A response that is never received, or stops half way, must not be waited for until its
+     * timeout.
+     */
     @Test
-    public void aCallWithoutAWholeAnswerIsMadeASecondTimeBesideTheFirst() throws Exception {
+    public void aCallWithoutACompleteResponseIsHedged() throws Exception {
         play(
                 () -> {},
                 (loop, client, discovery, watch) -> {
-                    tell(watch, 1, true, "in_service");
-                    assertNotNull(told.poll(20, TimeUnit.SECONDS));
-                    loop.run(() -> client.setTimeouts(patience(600_000, 200, 600_000)));
+                    sendList(watch, 1, true, "in_service");
+                    assertNotNull(updates.poll(20, TimeUnit.SECONDS));
+                    loop.run(() -> client.setTimeouts(timeouts(600_000, 200, 600_000)));
                     loop.run(client::fetchAll);
                     try (Socket half = discovery.accept()) {
                         half.getOutputStream().write(STREAM.getBytes());
@@ -264,21 +271,19 @@
                         try (Socket second = discovery.accept()) {
                             chunk(half, "\"servers\":[]}");
                             assertEquals(
-                                    told.poll(20, TimeUnit.SECONDS).version(),
+                                    updates.poll(20, TimeUnit.SECONDS).version(),
                                     2,
                                     "the first was waited for");
                             second.getInputStream()
-                                    .readAllBytes(); // no longer needed: the proxy has closed it
+                                    .readAllBytes(); // // no longer needed: closed by the proxy
                         }
                     }
                 });
     }
 
-    /**
-     * Detects a list that is not understood where it comes indented, on a watch or in an answer.
-     */
+    /** An indented list must be parsed, on a watch and in a response. */
     @Test
-    public void aListMayComeIndented() throws Exception {
+    public void anIndentedListIsParsed() throws Exception {
         String indented =
                 "{\n  \"version\": %d,\n  \"full\": true,\n\n  \"servers\": [\n    {\n"
                         + "      \"id\": \"a}{\\\"\",\n      \"addr\": \"127.0.0.1:9\",\n"
@@ -292,9 +297,9 @@
                                     + String.format(indented, 1)
                                     + "\n\n"
                                     + String.format(indented, 2).substring(0, 40));
-                    assertEquals(told.poll(20, TimeUnit.SECONDS).nodes().get(0).name(), "a}{\"");
+                    assertEquals(updates.poll(20, TimeUnit.SECONDS).nodes().get(0).name(), "a}{\"");
                     chunk(watch, String.format(indented, 2).substring(40) + "\n");
-                    assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 2);
+                    assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 2);
                     loop.run(client::fetchAll);
                     try (Socket list = discovery.accept()) {
                         String text = String.format(indented, 3);
@@ -305,16 +310,17 @@
                                                         + "\r\n\r\n"
                                                         + text)
                                                 .getBytes());
-                        assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 3);
+                        assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 3);
                     }
                 });
     }
 
     /**
-     * Detects a list that is late since the balancer, which was told of the failure, waits longer.
+     * The watch must be opened again even if the balancer, which was notified of the failure, waits
+     * longer.
      */
     @Test
-    public void aLostWatchIsOpenedAnewWhereTheModuleDoesNotAsk() throws Exception {
+    public void aLostWatchIsOpenedAgainWithoutAPollOfTheBalancer() throws Exception {
         play(
                 300_000_000L,
                 () -> {},
@@ -323,8 +329,8 @@
                     watch.close();
                     try (Socket again = discovery.accept()) {
                         again.getOutputStream().write(STREAM.getBytes());
-                        tell(again, 1, true, "in_service");
-                        assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                        sendList(again, 1, true, "in_service");
+                        assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                     }
                 });
     }
@@ -350,12 +356,11 @@
     }
 
     /**
-     * Detects endpoints that are lost for good, since discovery was told that their version is
-     * known, and against calls without a pause for a list that still does not fit.
+     * Endpoints that were left out must not be lost for ever because discovery assumes that their
+     * version is known, and a list that still does not fit must not cause calls without a pause.
      */
     @Test
-    public void nodesThatWereLeftOutAreAskedForAgainAfterAWhileAndAreNotTakenForKnown()
-            throws Exception {
+    public void endpointsThatWereLeftOutAreRequestedAgainAfterADelay() throws Exception {
         room = 2_000_000;
         play(
                 () -> {},
@@ -363,17 +368,21 @@
                     assertEquals(asked(watch), "/catalog/members?follow=1&since=0");
                     long from = System.nanoTime();
                     chunk(watch, list(7, "n", 5_000));
-                    int held = told.poll(20, TimeUnit.SECONDS).nodes().size();
+                    int held = updates.poll(20, TimeUnit.SECONDS).nodes().size();
                     assertEquals(held > 100 && held < 1_000, true, "held " + held);
-                    tell(
+                    sendList(
                             watch,
                             8,
                             false,
-                            "terminating"); // has room, and says nothing of those that wait
-                    assertEquals(told.poll(20, TimeUnit.SECONDS).nodes().size(), 1);
+                            "terminating"); // // frees capacity, and does not list those that were
+                    // left out
+                    assertEquals(updates.poll(20, TimeUnit.SECONDS).nodes().size(), 1);
                     for (int fits = 0; fits < 2; fits++) {
                         try (Socket list = discovery.accept()) {
-                            assertEquals(System.nanoTime() - from >= AGAIN, true, "not at once");
+                            assertEquals(
+                                    System.nanoTime() - from >= REFETCH_DELAY_NANOS,
+                                    true,
+                                    "not at once");
                             from = System.nanoTime();
                             assertEquals(asked(list), "/catalog/members");
                             loop.run(
@@ -381,9 +390,8 @@
                                             client.moveTo(
                                                     new InetSocketAddress(
                                                             "127.0.0.2",
-                                                            discovery
-                                                                    .getLocalPort()))); // nobody is
-                            // there:
+                                                            discovery.getLocalPort()))); // // no
+                            // server:
                             // each call
                             // fails
                             loop.run(
@@ -402,13 +410,13 @@
                                                             + "\r\n\r\n"
                                                             + text)
                                                     .getBytes());
-                            assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 9 + fits);
+                            assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 9 + fits);
                         }
                     }
                     assertEquals(
-                            told.poll(20, TimeUnit.SECONDS).nodes().size(),
+                            updates.poll(20, TimeUnit.SECONDS).nodes().size(),
                             500,
-                            "in the room of what has left");
+                            "in the capacity that was freed");
                     loop.run(
                             () ->
                                     client.moveTo(
@@ -425,22 +433,22 @@
         room = 0;
     }
 
-    /** Detects endpoints of the configuration's list that were left out and are never told. */
+    /** Endpoints that were left out of the configuration's list must be requested. */
     @Test
-    public void whatTheStartLeftOutIsAskedForFromTheBeginning() throws Exception {
+    public void endpointsLeftOutOfTheCachedListAreRequestedFromVersionZero() throws Exception {
         room = 2_000_000;
-        known = 5;
+        initialVersion = 5;
         play(
                 () -> {},
                 (loop, client, discovery, watch) -> {
                     loop.run(
                             () -> {
-                                gate.read(JsonObject.parse(list(7, "n", 5_000)));
+                                listReader.read(JsonObject.parse(list(7, "n", 5_000)));
                                 client.onCachedListIncomplete();
                                 client.moveTo(
                                         new InetSocketAddress(
                                                 "127.0.0.2",
-                                                discovery.getLocalPort())); // nobody there
+                                                discovery.getLocalPort())); // // no server
                                 client.moveTo(
                                         (InetSocketAddress) discovery.getLocalSocketAddress());
                             });
@@ -455,67 +463,70 @@
                     }
                 });
         room = 0;
-        known = 0;
+        initialVersion = 0;
     }
 
-    /** Detects a list that stands still, since the new address began with what can't be read. */
+    /**
+     * The list must not stay outdated because the first response at the new address can't be
+     * parsed.
+     */
     @Test
-    public void theFormerWatchTellsOnUntilTheNewOneHasToldWhatCanBeRead() throws Exception {
+    public void theOldWatchIsUsedUntilTheNewOneHasDeliveredAValidList() throws Exception {
         play(
                 () -> {},
                 (loop, client, discovery, watch) -> {
                     try (ServerSocket next =
                             new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-                        tell(watch, 1, true, "in_service");
-                        assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                        sendList(watch, 1, true, "in_service");
+                        assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                         loop.run(
                                 () ->
                                         client.moveTo(
                                                 (InetSocketAddress) next.getLocalSocketAddress()));
                         try (Socket second = next.accept()) {
                             second.getOutputStream().write(STREAM.getBytes());
-                            tell(second, 2, true, "nonsense");
-                            second.getInputStream().readAllBytes(); // given up by now
+                            sendList(second, 2, true, "nonsense");
+                            second.getInputStream().readAllBytes(); // // given up by now
                         }
-                        tell(watch, 3, false, "in_service");
-                        assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 3);
+                        sendList(watch, 3, false, "in_service");
+                        assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 3);
                     }
                 });
     }
 
     /**
-     * Detects a line that is older than what is known changing what is known of an endpoint: it
-     * counted as restarted with the next that told of it, and all that was learnt of it was lost.
+     * A line that is older than the known version must not change an endpoint: it counted as
+     * restarted with the next line that listed it, and all data learnt about it was lost.
      */
     @Test
-    public void aLineThatIsOutdatedChangesNothingOfANode() throws Exception {
+    public void anOutdatedLineDoesNotChangeAnEndpoint() throws Exception {
         play(
                 () -> {},
                 (loop, client, discovery, watch) -> {
-                    tell(watch, 5, true, "in_service");
-                    EndpointList first = told.poll(20, TimeUnit.SECONDS);
-                    tell(watch, 4, false, "terminated");
-                    tell(watch, 6, false, "in_service");
-                    EndpointList next = told.poll(20, TimeUnit.SECONDS);
+                    sendList(watch, 5, true, "in_service");
+                    EndpointList first = updates.poll(20, TimeUnit.SECONDS);
+                    sendList(watch, 4, false, "terminated");
+                    sendList(watch, 6, false, "in_service");
+                    EndpointList next = updates.poll(20, TimeUnit.SECONDS);
                     assertEquals(next.version(), 6);
                     assertEquals(next.nodes().get(0).endpoint(), first.nodes().get(0).endpoint());
                 });
     }
 
     /**
-     * Detects a healthy watch that ends, or is reset, being opened anew only after a long wait: its
-     * end is the first failure, and the next call comes within the spread.
+     * A healthy watch that ends, or is reset, must not be opened again only after a long wait: its
+     * end is the first failure, and the next call follows within the jitter.
      */
     @Test
-    public void aWatchThatEndsIsOpenedAnewWithinTheSpread() throws Exception {
+    public void aWatchThatEndsIsOpenedAgainWithinTheJitter() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             play(
                     NEVER_SOON,
                     () -> {},
                     (loop, client, discovery, watch) -> {
-                        loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 600_000)));
-                        tell(watch, 1, true, "in_service");
-                        assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                        loop.run(() -> client.setTimeouts(timeouts(600_000, 600_000, 600_000)));
+                        sendList(watch, 1, true, "in_service");
+                        assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                         if (reset) {
                             watch.setSoLinger(true, 0);
                             watch.close();
@@ -529,15 +540,17 @@
         }
     }
 
-    /** Detects a refusal whose body is waited for, or taken for a list. */
+    /**
+     * A response with an error status must not be waited for to its end, nor be parsed as a list.
+     */
     @Test
-    public void aRefusalWithABodyIsNoList() throws Exception {
+    public void anErrorResponseWithABodyIsNoList() throws Exception {
         play(
                 300_000_000L,
                 () -> {},
                 (loop, client, discovery, watch) -> {
-                    tell(watch, 1, true, "in_service");
-                    assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                    sendList(watch, 1, true, "in_service");
+                    assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                     watch.close();
                     for (String length :
                             new String[] {
@@ -559,60 +572,61 @@
                     try (Socket again = discovery.accept()) {
                         assertEquals(asked(again), FOLLOW + 1);
                         again.getOutputStream().write(STREAM.getBytes());
-                        tell(again, 2, false, "terminating");
-                        assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 2);
+                        sendList(again, 2, false, "terminating");
+                        assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 2);
                     }
                 });
     }
 
-    /** Waits until the proxy has closed a connection on which it may have left bytes unread. */
+    /** Waits until the proxy has closed a connection, possibly with unread bytes. */
     private static void awaitEnd(Socket call) throws IOException {
         call.setSoTimeout(20_000);
         try {
             call.getInputStream().readAllBytes();
         } catch (SocketException e) {
-            // a reset is an end too
+            // // a reset is an end too
         }
     }
 
     /**
-     * Detects a list that is spoilt taking the place of the last good one, or being the last asked
-     * for.
+     * A malformed list must not replace the last valid one, and must not be the last that is
+     * requested.
      */
     @Test
-    public void aSpoiltListChangesNothingAndIsAskedForAgain() throws Exception {
+    public void aMalformedListIsIgnoredAndRequestedAgain() throws Exception {
         play(
                 300_000_000L,
                 () -> {},
                 (loop, client, discovery, watch) -> {
-                    tell(watch, 1, true, "in_service");
-                    assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                    sendList(watch, 1, true, "in_service");
+                    assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                     chunk(watch, "{\"version\":2,\"full\":true,\"servers\":}\n");
                     awaitEnd(watch);
                     try (Socket again = discovery.accept()) {
                         assertEquals(asked(again), FOLLOW + 1);
                         again.getOutputStream().write(STREAM.getBytes());
-                        tell(again, 2, false, "terminating");
+                        sendList(again, 2, false, "terminating");
                         assertEquals(
-                                told.poll(20, TimeUnit.SECONDS).full(),
+                                updates.poll(20, TimeUnit.SECONDS).full(),
                                 false,
-                                "the spoilt one was not told");
+                                "the malformed list was not reported");
                     }
                 });
     }
 
     /**
-     * Detects the whole list of a discovery that began anew, whose versions are as old as what is
-     * known or older, being passed over: what it doesn't name is gone. Changes follow from there.
+     * The whole list of a discovery server that was restarted must be applied, although its
+     * versions are not newer than the known one: endpoints that it does not list are removed.
+     * Changes follow from there.
      */
     @Test
-    public void aWholeListOnAWatchCountsWhateverItsVersion() throws Exception {
+    public void aFullListOnAWatchIsAppliedWhateverItsVersion() throws Exception {
         play(
                 300_000_000L,
                 () -> {},
                 (loop, client, discovery, watch) -> {
                     chunk(watch, list(7, "n", 3));
-                    assertEquals(told.poll(20, TimeUnit.SECONDS).nodes().size(), 3);
+                    assertEquals(updates.poll(20, TimeUnit.SECONDS).nodes().size(), 3);
                     Socket last = watch;
                     for (long version : new long[] {7, 2}) {
                         last.close();
@@ -620,12 +634,12 @@
                         assertEquals(asked(last), FOLLOW + 7);
                         last.getOutputStream().write(STREAM.getBytes());
                         chunk(last, list(version, "n", 2));
-                        EndpointList whole = told.poll(20, TimeUnit.SECONDS);
+                        EndpointList whole = updates.poll(20, TimeUnit.SECONDS);
                         assertEquals(whole.full(), true);
                         assertEquals(whole.nodes().size(), 2);
                     }
-                    tell(last, 3, false, "terminating");
-                    EndpointList change = told.poll(20, TimeUnit.SECONDS);
+                    sendList(last, 3, false, "terminating");
+                    EndpointList change = updates.poll(20, TimeUnit.SECONDS);
                     assertEquals(change.version(), 3);
                     assertEquals(change.full(), false);
                     last.close();
@@ -636,11 +650,11 @@
     }
 
     /**
-     * Detects a list that is lost where the network cuts it: here at each byte, in all that HTTP
+     * A list must be parsed wherever the network splits it: here at each byte, with all that HTTP
      * allows.
      */
     @Test
-    public void aListInPiecesIsRead() throws Exception {
+    public void aListThatIsSplitAnywhereIsParsed() throws Exception {
         String text =
                 "\n"
                         + list(1, "n", 2)
@@ -668,8 +682,8 @@
                         for (byte next : answer.toString().getBytes()) {
                             again.getOutputStream().write(next);
                         }
-                        assertEquals(told.poll(20, TimeUnit.SECONDS).nodes().size(), 2);
-                        assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 2);
+                        assertEquals(updates.poll(20, TimeUnit.SECONDS).nodes().size(), 2);
+                        assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 2);
                         try (Socket next = discovery.accept()) {
                             assertEquals(asked(next), FOLLOW + 2, "the answer had an end");
                         }
@@ -678,11 +692,12 @@
     }
 
     /**
-     * Detects two connections in a row that come up late: while a call has no answer a spare one is
-     * dialled, and the next call goes out on it, whether the first was refused or says nothing.
+     * Two consecutive connections may be established late: while a call has no response a spare
+     * connection is opened, and the next call is sent on it, whether the first was refused or is
+     * silent.
      */
     @Test
-    public void theNextCallGoesOutOnTheSpareConnection() throws Exception {
+    public void theNextCallIsSentOnTheSpareConnection() throws Exception {
         for (boolean refuses : new boolean[] {false, true}) {
             play(
                     300_000_000L,
@@ -691,11 +706,11 @@
                         loop.run(
                                 () ->
                                         client.setTimeouts(
-                                                patience(600_000, refuses ? 600_000 : 1_000, 300)));
-                        tell(watch, 1, true, "in_service");
-                        assertNotNull(told.poll(20, TimeUnit.SECONDS));
-                        // The watch is silent now; of one that ended, discovery would count as
-                        // there.
+                                                timeouts(600_000, refuses ? 600_000 : 1_000, 300)));
+                        sendList(watch, 1, true, "in_service");
+                        assertNotNull(updates.poll(20, TimeUnit.SECONDS));
+                        // // The watch is silent now; if it had ended, discovery would count as
+                        // reachable.
                         try (Socket first = discovery.accept();
                                 Socket spare = discovery.accept()) {
                             assertEquals(asked(first), FOLLOW + 1);
@@ -704,59 +719,60 @@
                             }
                             assertEquals(asked(spare), FOLLOW + 1);
                             spare.getOutputStream().write(STREAM.getBytes());
-                            tell(spare, 2, false, "terminating");
-                            assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 2);
+                            sendList(spare, 2, false, "terminating");
+                            assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 2);
                             awaitEnd(first);
                         }
                     });
         }
     }
 
-    /** Detects a spare connection that stays open for nothing, or whose end counts as a failure. */
+    /**
+     * A spare connection must not stay open without need, and its end must not count as a failure.
+     */
     @Test
-    public void aSpareConnectionIsClosedOnceTheListIsTold() throws Exception {
+    public void aSpareConnectionIsClosedOnceTheListIsReceived() throws Exception {
         AtomicInteger failures = new AtomicInteger();
         play(
                 300_000_000L,
                 failures::incrementAndGet,
                 (loop, client, discovery, watch) -> {
-                    loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 300)));
-                    tell(watch, 1, true, "in_service");
-                    assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                    loop.run(() -> client.setTimeouts(timeouts(600_000, 600_000, 300)));
+                    sendList(watch, 1, true, "in_service");
+                    assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                     Socket again = watch;
                     for (int version = 2; version < 4; version++) {
-                        again = discovery.accept(); // the one before is silent
+                        again = discovery.accept(); // // the previous one is silent
                         try (Socket spare = discovery.accept()) {
                             if (version == 3) {
-                                spare.shutdownOutput(); // nothing that was asked has failed
+                                spare.shutdownOutput(); // // no request has failed
                             }
                             again.getOutputStream().write(STREAM.getBytes());
-                            tell(again, version, false, "terminating");
-                            assertEquals(told.poll(20, TimeUnit.SECONDS).version(), version);
+                            sendList(again, version, false, "terminating");
+                            assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), version);
                             if (version == 2) {
                                 spare.setSoTimeout(20_000);
                                 assertEquals(
-                                        spare.getInputStream().read(), -1, "closed, nothing asked");
+                                        spare.getInputStream().read(),
+                                        -1,
+                                        "closed without a request");
                             }
                         }
                     }
-                    assertEquals(failures.get(), 0, "nothing that was asked has failed");
+                    assertEquals(failures.get(), 0, "no request has failed");
                     again.close();
                 });
     }
 
-    /**
-     * Detects a call that goes to the address that discovery has left, on the spare connection
-     * there.
-     */
+    /** A call must not be sent to the former address of discovery on the spare connection to it. */
     @Test
     public void aSpareConnectionToAFormerAddressIsNotUsed() throws Exception {
         play(
                 300_000_000L,
                 () -> {},
                 (loop, client, discovery, watch) -> {
-                    loop.run(() -> client.setTimeouts(patience(600_000, 600_000, 300)));
-                    // The watch is silent now.
+                    loop.run(() -> client.setTimeouts(timeouts(600_000, 600_000, 300)));
+                    // // The watch is silent now.
                     try (Socket hangs = discovery.accept();
                             Socket spare = discovery.accept();
                             ServerSocket next =
@@ -776,12 +792,12 @@
     }
 
     /**
-     * Detects a list that is late after discovery has moved, since the first call at the new
-     * address is refused or hangs: it is asked again there, and what was dialled to the old address
-     * is not used.
+     * The list must not be late after discovery has moved because the first call at the new address
+     * is refused or silent: it is requested there again, and connections to the old address are not
+     * used.
      */
     @Test
-    public void theNewAddressIsAskedAgainSoonWhereTheFirstCallThereFailsOrHangs() throws Exception {
+    public void aFailedOrSilentFirstCallToTheNewAddressIsRepeatedSoon() throws Exception {
         for (boolean hangs : new boolean[] {false, true}) {
             play(
                     NEVER_SOON,
@@ -793,12 +809,12 @@
                             loop.run(
                                     () ->
                                             client.setTimeouts(
-                                                    patience(
+                                                    timeouts(
                                                             600_000,
                                                             hangs ? 600 : 600_000,
                                                             600_000)));
-                            tell(watch, 1, true, "in_service");
-                            assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                            sendList(watch, 1, true, "in_service");
+                            assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                             loop.run(
                                     () ->
                                             client.moveTo(
@@ -810,13 +826,18 @@
                                     first.getOutputStream()
                                             .write("HTTP/1.1 503 No\r\n\r\n".getBytes());
                                 }
-                                tell(watch, 2, false, "in_service"); // the former watch tells on
-                                assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 2);
+                                sendList(
+                                        watch,
+                                        2,
+                                        false,
+                                        "in_service"); // // the watch at the old address still
+                                // reports changes
+                                assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 2);
                                 try (Socket second = next.accept()) {
                                     assertEquals(asked(second).startsWith(FOLLOW), true);
                                     second.getOutputStream().write(STREAM.getBytes());
-                                    tell(second, 3, true, "terminating");
-                                    assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 3);
+                                    sendList(second, 3, true, "terminating");
+                                    assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 3);
                                     awaitEnd(watch);
                                 }
                             }
@@ -826,27 +847,26 @@
     }
 
     /**
-     * Detects a list that is late after discovery has moved, since it had ended a watch at its
-     * former address before, and so counts as there: of the new address nothing is known.
+     * The list must not be late after discovery has moved because discovery had ended a watch at
+     * its old address before, and so counts as reachable: nothing is known of the new address.
      */
     @Test
-    public void aCallThatHangsAtANewAddressIsMadeASecondTimeWhateverTheFormerDid()
-            throws Exception {
+    public void aSilentCallToANewAddressIsHedgedWhateverTheOldWatchDid() throws Exception {
         play(
                 NEVER_SOON,
                 () -> {},
                 (loop, client, discovery, watch) -> {
-                    loop.run(() -> client.setTimeouts(patience(600_000, 600, 600_000)));
-                    tell(watch, 1, true, "in_service");
-                    assertNotNull(told.poll(20, TimeUnit.SECONDS));
+                    loop.run(() -> client.setTimeouts(timeouts(600_000, 600, 600_000)));
+                    sendList(watch, 1, true, "in_service");
+                    assertNotNull(updates.poll(20, TimeUnit.SECONDS));
                     watch.close();
                     try (Socket again = discovery.accept();
                             ServerSocket next =
                                     new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
                         next.setSoTimeout(20_000);
                         again.getOutputStream().write(STREAM.getBytes());
-                        tell(again, 2, false, "in_service");
-                        assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 2);
+                        sendList(again, 2, false, "in_service");
+                        assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 2);
                         loop.run(
                                 () ->
                                         client.moveTo(
@@ -856,8 +876,8 @@
                             try (Socket second = next.accept()) {
                                 assertEquals(asked(second), FOLLOW + 2);
                                 second.getOutputStream().write(STREAM.getBytes());
-                                tell(second, 3, false, "terminating");
-                                assertEquals(told.poll(20, TimeUnit.SECONDS).version(), 3);
+                                sendList(second, 3, false, "terminating");
+                                assertEquals(updates.poll(20, TimeUnit.SECONDS).version(), 3);
                                 awaitEnd(hangs);
                             }
                         }
