--- a/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/ClientConnectionTest.java
@@ -86,8 +86,8 @@
         private final BlockingQueue<Long> requests = new LinkedBlockingQueue<>();
         private final BlockingQueue<Object> left = new LinkedBlockingQueue<>();
         private final BlockingQueue<Throwable> failures = new LinkedBlockingQueue<>();
-        private final CountDownLatch over = new CountDownLatch(1);
-        private volatile RequestListener requestListener = (request, caller) -> {};
+        private final CountDownLatch shutdownComplete = new CountDownLatch(1);
+        private volatile RequestListener requestListener = (request, client) -> {};
         private volatile boolean rejectsAtOnce;
         private LoadBalancer.Actions actions;
         private final HttpServer listener;
@@ -151,11 +151,11 @@
             at = listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         }
 
-        Socket caller() throws IOException {
-            Socket caller = new Socket(at.getAddress(), at.getPort());
-            caller.setSoTimeout(TIMEOUT_MILLIS);
-            caller.setTcpNoDelay(true);
-            return caller;
+        Socket client() throws IOException {
+            Socket client = new Socket(at.getAddress(), at.getPort());
+            client.setSoTimeout(TIMEOUT_MILLIS);
+            client.setTcpNoDelay(true);
+            return client;
         }
 
         /** Runs a task on the event loop and waits for its result. */
@@ -189,7 +189,7 @@
         void replace() throws Exception {
             on(
                     () -> {
-                        listener.handOver(over::countDown);
+                        listener.handOver(shutdownComplete::countDown);
                         return null;
                     });
         }
@@ -197,7 +197,7 @@
         void drain() throws Exception {
             on(
                     () -> {
-                        listener.shutDown(over::countDown);
+                        listener.shutDown(shutdownComplete::countDown);
                         return null;
                     });
         }
@@ -210,7 +210,7 @@
         void drain(Callable<?> taskDuringClosing) throws Exception {
             on(
                     () -> {
-                        listener.shutDown(over::countDown);
+                        listener.shutDown(shutdownComplete::countDown);
                         return loop.at(
                                 loop.now() + listener.maxShutdownNanos() - BEFORE_STUCK_NANOS,
                                 () -> {
@@ -263,16 +263,16 @@
                 + "\r\n";
     }
 
-    private static void send(Socket caller, String text) throws IOException {
-        caller.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    private static void send(Socket client, String text) throws IOException {
+        client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /**
      * Returns the head of the next response after reading its body too; empty at the end of the
      * stream.
      */
-    private static String read(Socket caller) throws IOException {
-        InputStream in = caller.getInputStream();
+    private static String read(Socket client) throws IOException {
+        InputStream in = client.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
@@ -286,11 +286,11 @@
         return head.toString();
     }
 
-    private static void leave(Socket caller, boolean reset) throws IOException {
+    private static void leave(Socket client, boolean reset) throws IOException {
         if (reset) {
-            caller.setSoLinger(true, 0);
+            client.setSoLinger(true, 0);
         }
-        caller.close();
+        client.close();
     }
 
     /**
@@ -301,14 +301,14 @@
     public void aDisconnectBehindUnreadBytesEndsTheOpenRequest() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             try (Service service = new Service()) {
-                Socket caller = service.caller();
-                send(caller, request("1"));
+                Socket client = service.client();
+                send(client, request("1"));
                 long id = service.request();
-                send(caller, request("2") + request("3"));
+                send(client, request("2") + request("3"));
                 Await.until(
                         "the bytes behind it are buffered",
                         () -> service.on(service.account::bufferedBytes) > 0);
-                leave(caller, reset);
+                leave(client, reset);
                 assertEquals(Await.next("the end seen", service.left), id);
                 Await.until(
                         "nothing is buffered",
@@ -326,8 +326,8 @@
     public void pipelinedRequestsAreBufferedWithinALimitAndAnswered() throws Exception {
         int behind = 40_000;
         try (Service service = new Service();
-                Socket caller = service.caller()) {
-            send(caller, request("1"));
+                Socket client = service.client()) {
+            send(client, request("1"));
             CompletableFuture<Void> sent =
                     CompletableFuture.runAsync(
                             () -> {
@@ -342,7 +342,7 @@
                                                 i * request.length,
                                                 request.length);
                                     }
-                                    caller.getOutputStream().write(all);
+                                    client.getOutputStream().write(all);
                                 } catch (IOException e) {
                                     throw new UncheckedIOException(e);
                                 }
@@ -355,9 +355,9 @@
                         "too many bytes are buffered");
             }
             service.rejectOldest();
-            assertTrue(read(caller).startsWith("HTTP/1.1 503"));
+            assertTrue(read(client).startsWith("HTTP/1.1 503"));
             for (int i = 0; i < behind; i++) {
-                assertTrue(read(caller).startsWith("HTTP/1.1 200"), "answer " + i);
+                assertTrue(read(client).startsWith("HTTP/1.1 200"), "answer " + i);
             }
             sent.get(Await.LONGEST_SECONDS, TimeUnit.SECONDS);
         }
@@ -373,22 +373,22 @@
             throws Exception {
         long wait = TimeUnit.SECONDS.toNanos(900);
         try (Service service = new Service();
-                Socket caller = service.caller()) {
+                Socket client = service.client()) {
             List<Long> deadlines = new ArrayList<>();
             service.requestListener =
                     (request, reply) -> deadlines.add(request.request().deadline());
-            send(caller, request("1"));
+            send(client, request("1"));
             Await.until("the first is taken", () -> service.requests.size() == 1);
-            send(caller, request("2"));
+            send(client, request("2"));
             Await.until(
                     "the second is buffered", () -> service.on(service.account::bufferedBytes) > 0);
             long kept = System.nanoTime();
             Await.until(
                     "a second later", () -> System.nanoTime() - kept > TimeUnit.SECONDS.toNanos(1));
-            send(caller, request("3"));
+            send(client, request("3"));
             for (int i = 0; i < 3; i++) {
                 service.rejectOldest();
-                read(caller);
+                read(client);
             }
             assertTrue(
                     service.on(() -> deadlines.get(1)) - kept <= wait,
@@ -406,17 +406,17 @@
         for (boolean reset : new boolean[] {false, true}) {
             try (Service service = new Service()) {
                 BlockingQueue<Boolean> waits = new LinkedBlockingQueue<>();
-                Socket caller = service.caller();
+                Socket client = service.client();
                 service.requestListener =
                         (request, reply) -> {
                             waits.add(reply.isClientWaiting());
-                            send(caller, request("2"));
+                            send(client, request("2"));
                             waits.add(reply.isClientWaiting());
-                            send(caller, "x".repeat(5000));
-                            leave(caller, reset);
+                            send(client, "x".repeat(5000));
+                            leave(client, reset);
                             waits.add(reply.isClientWaiting());
                         };
-                send(caller, request("1"));
+                send(client, request("1"));
                 assertTrue(Await.next("a look", waits), "it waits");
                 assertTrue(Await.next("a look", waits), "it waits, and has sent more");
                 assertFalse(Await.next("a look", waits), "it has gone");
@@ -433,7 +433,7 @@
     @Test
     public void bytesReadWithinADecodeKeepTheirOrder() throws Exception {
         try (Service service = new Service();
-                Socket caller = service.caller()) {
+                Socket client = service.client()) {
             service.requestListener =
                     (request, reply) -> {
                         if (request.request().id() > 3) {
@@ -441,16 +441,16 @@
                         }
                         String next = request("" + (request.request().id() + 1));
                         for (int i = 0; i < next.length(); i += 50) {
-                            send(caller, next.substring(i, Math.min(next.length(), i + 50)));
+                            send(client, next.substring(i, Math.min(next.length(), i + 50)));
                             assertTrue(reply.isClientWaiting());
                         }
                     };
-            send(caller, request("1") + HEALTH);
+            send(client, request("1") + HEALTH);
             for (int i = 0; i < 4; i++) {
                 service.rejectOldest();
-                assertTrue(read(caller).startsWith("HTTP/1.1 503"), "RPC " + i);
+                assertTrue(read(client).startsWith("HTTP/1.1 503"), "RPC " + i);
                 if (i == 0) {
-                    assertTrue(read(caller).startsWith("HTTP/1.1 200"));
+                    assertTrue(read(client).startsWith("HTTP/1.1 200"));
                 }
             }
         }
@@ -472,7 +472,7 @@
         }
         chunks.add("0\r\n\r\n");
         try (Service service = new Service();
-                Socket caller = service.caller()) {
+                Socket client = service.client()) {
             AtomicInteger sent = new AtomicInteger(first);
             ByteArrayOutputStream got = new ByteArrayOutputStream();
             CompletableFuture<String> whole = new CompletableFuture<>();
@@ -484,7 +484,7 @@
                                 () -> {
                                     try {
                                         if (sent.get() < chunks.size()) {
-                                            send(caller, chunks.get(sent.getAndIncrement()));
+                                            send(client, chunks.get(sent.getAndIncrement()));
                                         }
                                         reply.isClientWaiting();
                                     } catch (IOException e) {
@@ -501,7 +501,7 @@
                                 });
                     };
             send(
-                    caller,
+                    client,
                     "POST /api HTTP/1.1\r\n"
                             + "Host: a\r\n"
                             + "Req-Id: 1\r\n"
@@ -528,7 +528,7 @@
     public void aResponseFromWithinAStreamedBodyIsTheOnlyOne() throws Exception {
         for (String end : List.of("0\r\n\r\n", "no chunk\r\n")) {
             try (Service service = new Service();
-                    Socket caller = service.caller()) {
+                    Socket client = service.client()) {
                 String chunk = "400\r\n" + "x".repeat(1024) + "\r\n";
                 service.requestListener =
                         (request, reply) -> {
@@ -539,12 +539,12 @@
                                             () ->
                                                     service.actions.reject(
                                                             request.request().id(), 0));
-                            send(caller, chunk.repeat(3) + end);
+                            send(client, chunk.repeat(3) + end);
                             assertTrue(reply.isClientWaiting()); // // so that the decoder processes
                             // all of it at once
                         };
                 send(
-                        caller,
+                        client,
                         "POST /api HTTP/1.1\r\n"
                                 + "Host: a\r\n"
                                 + "Req-Id: 1\r\n"
@@ -553,8 +553,8 @@
                                 + "Req-Deadline-Ms: 900000\r\n"
                                 + "Transfer-Encoding: chunked\r\n\r\n"
                                 + chunk.repeat(64));
-                assertTrue(read(caller).startsWith("HTTP/1.1 503"));
-                assertEquals(caller.getInputStream().read(), -1);
+                assertTrue(read(client).startsWith("HTTP/1.1 503"));
+                assertEquals(client.getInputStream().read(), -1);
             }
         }
     }
@@ -567,11 +567,11 @@
     public void requestsPipelinedBehindTheLastOneAreAnswered() throws Exception {
         for (boolean byHand : new boolean[] {true, false}) {
             try (Service service = new Service();
-                    Socket caller = service.caller();
-                    Socket idle = service.caller()) {
+                    Socket client = service.client();
+                    Socket idle = service.client()) {
                 send(idle, HEALTH);
                 assertTrue(read(idle).startsWith("HTTP/1.1 200"));
-                send(caller, request("1"));
+                send(client, request("1"));
                 Await.until("it is taken", () -> service.requests.size() == 1);
                 if (byHand) {
                     service.on(
@@ -587,19 +587,19 @@
                 long id = service.request();
                 service.on(
                         () -> {
-                            send(caller, request("2") + request("3"));
+                            send(client, request("2") + request("3"));
                             service.actions.reject(id, 0);
                             return null;
                         });
                 for (int i = 1; i <= 3; i++) {
-                    String answer = read(caller);
+                    String answer = read(client);
                     assertTrue(answer.startsWith("HTTP/1.1 503"), "answer " + i + ": " + answer);
                     assertEquals(answer.contains("Connection: close"), i == 3, "answer " + i);
                     if (i < 3) {
                         service.rejectOldest();
                     }
                 }
-                assertEquals(caller.getInputStream().read(), -1);
+                assertEquals(client.getInputStream().read(), -1);
             }
         }
     }
@@ -612,22 +612,22 @@
     public void requestsPipelinedBehindAnImmediateResponseAreAnswered() throws Exception {
         for (String atOnce : List.of(HEALTH, request("2"))) {
             try (Service service = new Service();
-                    Socket caller = service.caller()) {
-                send(caller, request("1"));
+                    Socket client = service.client()) {
+                send(client, request("1"));
                 long id = service.request();
                 service.drain(
                         () -> {
                             service.rejectsAtOnce = true;
-                            send(caller, atOnce + request("3") + request("4"));
+                            send(client, atOnce + request("3") + request("4"));
                             service.actions.reject(id, 0);
                             return null;
                         });
                 for (int i = 1; i <= 4; i++) {
-                    String answer = read(caller);
+                    String answer = read(client);
                     assertTrue(answer.startsWith("HTTP/1.1 503"), "answer " + i + ": " + answer);
                     assertEquals(answer.contains("Connection: close"), i == 4, "answer " + i);
                 }
-                assertEquals(caller.getInputStream().read(), -1);
+                assertEquals(client.getInputStream().read(), -1);
             }
         }
     }
@@ -636,17 +636,17 @@
     @Test
     public void requestsPipelinedBehindAnEndedRequestAreAnswered() throws Exception {
         try (Service service = new Service();
-                Socket caller = service.caller()) {
-            send(caller, request("1") + request("2") + request("3"));
+                Socket client = service.client()) {
+            send(client, request("1") + request("2") + request("3"));
             Await.until("it is taken", () -> service.requests.size() == 1);
             service.rejectsAtOnce = true;
             service.drain();
             for (int i = 1; i <= 3; i++) {
-                String answer = read(caller);
+                String answer = read(client);
                 assertTrue(answer.startsWith("HTTP/1.1 503"), "answer " + i + ": " + answer);
                 assertEquals(answer.contains("Connection: close"), i == 3, "answer " + i);
             }
-            assertEquals(caller.getInputStream().read(), -1);
+            assertEquals(client.getInputStream().read(), -1);
         }
     }
 
@@ -658,12 +658,12 @@
     @Test
     public void aLargeBodyBehindAnEndedRequestHasNoTimeLeft() throws Exception {
         try (Service service = new Service();
-                Socket caller = service.caller()) {
+                Socket client = service.client()) {
             BlockingQueue<Long> left = new LinkedBlockingQueue<>();
             service.requestListener =
                     (request, reply) -> left.add(request.request().deadline() - service.loop.now());
             send(
-                    caller,
+                    client,
                     request("1")
                             + request("2", "Content-Length: 80000\r\n")
                                     .replace("GET", "POST")
@@ -674,8 +674,8 @@
             service.rejectsAtOnce = true;
             service.drain();
             assertTrue(Await.next("the one behind it", left) <= 0, "it has time left");
-            assertTrue(read(caller).startsWith("HTTP/1.1 503"));
-            assertTrue(read(caller).startsWith("HTTP/1.1 503"));
+            assertTrue(read(client).startsWith("HTTP/1.1 503"));
+            assertTrue(read(client).startsWith("HTTP/1.1 503"));
         }
     }
 
@@ -683,18 +683,18 @@
     @Test
     public void aClientThatPipelinesWithoutEndIsDisconnected() throws Exception {
         try (Service service = new Service();
-                Socket caller = service.caller()) {
-            send(caller, request("0"));
+                Socket client = service.client()) {
+            send(client, request("0"));
             service.replace();
             int answers = 0;
             for (String answer = ""; !answer.contains("Connection: close"); answers++) {
-                send(caller, request("" + (answers + 1)));
+                send(client, request("" + (answers + 1)));
                 service.rejectOldest();
-                answer = read(caller);
+                answer = read(client);
                 assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
             }
             assertTrue(answers > 1 && answers < 100, answers + " answers");
-            assertEquals(caller.getInputStream().read(), -1);
+            assertEquals(client.getInputStream().read(), -1);
         }
     }
 
@@ -705,25 +705,25 @@
      */
     @Test
     public void inputAfterTheEndOfTheOutputIsReadAndDropped() throws Exception {
-        for (boolean told : new boolean[] {true, false}) {
+        for (boolean closeRequested : new boolean[] {true, false}) {
             try (Service service = new Service();
-                    Socket caller = service.caller()) {
+                    Socket client = service.client()) {
                 BlockingQueue<ClientConnection> ends = new LinkedBlockingQueue<>();
                 service.requestListener = (request, reply) -> ends.add(reply.connection());
-                send(caller, request("1", told ? "Connection: close\r\n" : ""));
+                send(client, request("1", closeRequested ? "Connection: close\r\n" : ""));
                 long id = service.request();
                 service.on(
                         () -> {
                             service.actions.reject(id, 0);
-                            if (!told) {
+                            if (!closeRequested) {
                                 ends.take().closeIfQuiet();
                             }
-                            send(caller, request("late"));
+                            send(client, request("late"));
                             return null;
                         });
-                assertEquals(read(caller).contains("Connection: close"), told);
-                assertEquals(caller.getInputStream().read(), -1, "an end in order, and no reset");
-                caller.shutdownOutput();
+                assertEquals(read(client).contains("Connection: close"), closeRequested);
+                assertEquals(client.getInputStream().read(), -1, "an end in order, and no reset");
+                client.shutdownOutput();
                 Await.until(
                         "the end of the connection",
                         () -> service.on(service.listener::clients) == 0);
@@ -740,26 +740,26 @@
     public void pendingInputIsReadBeforeAnEviction() throws Exception {
         for (boolean atOnce : new boolean[] {false, true}) {
             try (Service service = new Service();
-                    Socket asks = service.caller();
-                    Socket rests = service.caller()) {
-                for (Socket caller : List.of(asks, rests)) {
-                    send(caller, HEALTH);
-                    read(caller);
+                    Socket active = service.client();
+                    Socket idleClient = service.client()) {
+                for (Socket client : List.of(active, idleClient)) {
+                    send(client, HEALTH);
+                    read(client);
                 }
                 service.rejectsAtOnce = atOnce;
                 service.on(
                         () -> {
-                            send(asks, request("1"));
+                            send(active, request("1"));
                             service.listener.apply(LIMITS_WITHOUT_TIMEOUTS, 1);
                             return null;
                         });
                 if (!atOnce) {
                     service.rejectOldest();
                 }
-                assertTrue(read(asks).startsWith("HTTP/1.1 503"));
-                assertEquals(rests.getInputStream().read(), -1, "the other one is closed");
-                send(asks, HEALTH);
-                assertTrue(read(asks).startsWith("HTTP/1.1 200"));
+                assertTrue(read(active).startsWith("HTTP/1.1 503"));
+                assertEquals(idleClient.getInputStream().read(), -1, "the other one is closed");
+                send(active, HEALTH);
+                assertTrue(read(active).startsWith("HTTP/1.1 200"));
             }
         }
     }
@@ -771,24 +771,24 @@
     @Test
     public void pendingInputIsReadBeforeAConnectionWithItsLastResponseIsEvicted() throws Exception {
         try (Service service = new Service();
-                Socket told = service.caller();
-                Socket rests = service.caller()) {
-            send(rests, HEALTH);
-            read(rests);
-            send(told, request("1", "Connection: close\r\n"));
+                Socket closeRequested = service.client();
+                Socket idleClient = service.client()) {
+            send(idleClient, HEALTH);
+            read(idleClient);
+            send(closeRequested, request("1", "Connection: close\r\n"));
             long id = service.request();
             service.on(
                     () -> {
                         service.actions.reject(id, 0);
-                        send(told, request("late"));
+                        send(closeRequested, request("late"));
                         service.listener.apply(LIMITS_WITHOUT_TIMEOUTS, 1);
                         return null;
                     });
             Await.until("there is room", () -> service.on(service.listener::clients) == 1);
-            assertTrue(read(told).contains("Connection: close"));
-            send(told, "x");
-            send(rests, HEALTH);
-            assertTrue(read(rests).startsWith("HTTP/1.1 200"));
+            assertTrue(read(closeRequested).contains("Connection: close"));
+            send(closeRequested, "x");
+            send(idleClient, HEALTH);
+            assertTrue(read(idleClient).startsWith("HTTP/1.1 200"));
         }
     }
 
@@ -796,14 +796,14 @@
     @Test
     public void anIllegalEventClosesItsConnectionOnly() throws Exception {
         try (Service service = new Service();
-                Socket caller = service.caller();
-                Socket other = service.caller()) {
+                Socket client = service.client();
+                Socket other = service.client()) {
             BlockingQueue<ClientConnection> taken = new LinkedBlockingQueue<>();
             service.requestListener = (request, reply) -> taken.add(reply.connection());
-            for (Socket each : List.of(caller, other)) {
-                send(each, request(each == caller ? "1" : "2"));
+            for (Socket each : List.of(client, other)) {
+                send(each, request(each == client ? "1" : "2"));
                 Await.until("it is taken", () -> service.requests.size() == 1);
-                if (each == caller) {
+                if (each == client) {
                     ClientConnection broken = Await.next("its connection", taken);
                     long id = service.request();
                     service.on(
@@ -814,7 +814,7 @@
                                 // close
                                 return null;
                             });
-                    assertEquals(caller.getInputStream().read(), -1);
+                    assertEquals(client.getInputStream().read(), -1);
                 }
             }
             service.rejectOldest();
@@ -838,14 +838,14 @@
         List<Socket> callers = new ArrayList<>();
         try (Service service = new Service()) {
             for (String text : List.of("GET /a", HEALTH + "POST /api HT", HEALTH)) {
-                callers.add(service.caller());
+                callers.add(service.client());
                 send(callers.get(callers.size() - 1), text);
             }
             service.drain();
-            Await.open("the end of the service", service.over);
+            Await.open("the end of the service", service.shutdownComplete);
             assertEquals(callers.get(0).getInputStream().read(), -1);
-            for (Socket caller : callers) {
-                caller.close();
+            for (Socket client : callers) {
+                client.close();
             }
         }
     }
--- a/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/EndpointConnectionStateTest.java
@@ -48,7 +48,7 @@
      * Returns rows of the state, the event, and the state after it; null if the event is illegal.
      */
     @DataProvider
-    public Object[][] transitions() {
+    public Object[][] steps() {
         State[][] table = {
             // // CONNECTED, REQUEST_STARTED, REQUEST_WRITTEN, STREAM_STARTED, ANSWER_COMPLETE,
             // ENDED
--- a/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
+++ b/daemon/src/test/java/cedarrudder/transport/HttpServerTest.java
@@ -56,11 +56,11 @@
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         ProxyEventLoop loop = new ProxyEventLoop(new Logger(new PrintStream(log, true)));
         for (int i = 0; i < TIMES; i++) {
-            try (Socket held = new Socket()) {
-                held.setReuseAddress(true);
-                held.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                Thread caller = new Thread(() -> connect(held.getLocalPort()));
-                caller.start();
+            try (Socket reserved = new Socket()) {
+                reserved.setReuseAddress(true);
+                reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+                Thread client = new Thread(() -> connect(reserved.getLocalPort()));
+                client.start();
                 new HttpServer(
                                 loop,
                                 null,
@@ -69,8 +69,8 @@
                                 ClientLimits.DEFAULT,
                                 0,
                                 new BufferAccount(1))
-                        .listen((InetSocketAddress) held.getLocalSocketAddress(), false);
-                Await.end("a caller let in", caller);
+                        .listen((InetSocketAddress) reserved.getLocalSocketAddress(), false);
+                Await.end("a client that was accepted", client);
             }
         }
         CountDownLatch done = new CountDownLatch(1);
@@ -86,7 +86,9 @@
      */
     @Test
     public void aResponseThatCanNotBeEncodedEndsItsClientsConnection() throws Exception {
-        answered((driver, attempt) -> driver.served(attempt, new HttpMessage(null, null), null));
+        runWithEndpoint(
+                (forwarder, attempt) ->
+                        forwarder.served(attempt, new HttpMessage(null, null), null));
     }
 
     /**
@@ -96,10 +98,10 @@
     @Test
     public void aStreamedResponseThatCanNotBeginEndsItsClientsConnection() throws Exception {
         BodyRemainder rest = new BodyRemainder(new BodyFlow(new BufferAccount(1000)), 100_000);
-        BrokenNode node =
-                answered(
-                        (driver, attempt) ->
-                                driver.responseStarted(
+        BrokenEndpoint node =
+                runWithEndpoint(
+                        (forwarder, attempt) ->
+                                forwarder.responseStarted(
                                         attempt, new HttpMessage(null, null, rest), null));
         assertEquals(node.abandoned().poll(20, TimeUnit.SECONDS), Boolean.TRUE);
     }
@@ -130,10 +132,10 @@
                 () -> {
                     try {
                         for (int i = 0; i < WAITING; i++) {
-                            Socket caller = new Socket(at.getAddress(), at.getPort());
-                            caller.getOutputStream()
+                            Socket client = new Socket(at.getAddress(), at.getPort());
+                            client.getOutputStream()
                                     .write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".getBytes());
-                            waiting.add(caller);
+                            waiting.add(client);
                         }
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
@@ -141,11 +143,11 @@
                     listener.handOver(replaced::countDown);
                 });
         for (int i = 0; i < WAITING; i++) {
-            try (Socket caller = waiting.poll(20, TimeUnit.SECONDS)) {
+            try (Socket client = waiting.poll(20, TimeUnit.SECONDS)) {
                 assertEquals(
-                        new String(caller.getInputStream().readNBytes(8)),
+                        new String(client.getInputStream().readNBytes(8)),
                         "HTTP/1.1",
-                        "caller " + i);
+                        "client " + i);
             }
         }
         Await.open("the end of the service", replaced);
@@ -207,8 +209,8 @@
                     });
             try (Socket late = Await.next("the close", waiting)) {
                 late.setSoTimeout(20_000);
-                for (Socket caller : List.of(idle, late)) {
-                    String answer = new String(caller.getInputStream().readAllBytes());
+                for (Socket client : List.of(idle, late)) {
+                    String answer = new String(client.getInputStream().readAllBytes());
                     assertTrue(answer.contains("HTTP/1.1 503"), answer);
                     assertTrue(answer.contains("Connection: close"), answer);
                 }
@@ -269,7 +271,7 @@
                 assertEquals(
                         half.getInputStream().read(),
                         -1,
-                        "it makes room, though the first look failed");
+                        "it is evicted, though the first sweep failed");
             }
         }
         assertTrue(broken.get());
@@ -286,7 +288,7 @@
     }
 
     /** Runs a test with an endpoint whose response can't be passed on. */
-    private static BrokenNode answered(
+    private static BrokenEndpoint runWithEndpoint(
             BiConsumer<
                             RequestForwarder<HttpMessage, HttpMessage>,
                             RequestAttempt<HttpMessage, HttpMessage>>
@@ -294,8 +296,8 @@
             throws Exception {
         Logger log = new Logger(new PrintStream(OutputStream.nullOutputStream()));
         ProxyEventLoop loop = new ProxyEventLoop(log);
-        BlockingQueue<Object> told = new LinkedBlockingQueue<>();
-        RequestForwarder<HttpMessage, HttpMessage> driver =
+        BlockingQueue<Object> outcomes = new LinkedBlockingQueue<>();
+        RequestForwarder<HttpMessage, HttpMessage> forwarder =
                 new RequestForwarder<>(
                         actions ->
                                 StubFactory.create(
@@ -307,30 +309,30 @@
                                                         1,
                                                         0);
                                             } else if (event.equals("onAttemptEnded")) {
-                                                told.add(with[4]);
+                                                outcomes.add(with[4]);
                                             }
                                         }),
                         1,
                         loop,
                         log);
-        BrokenNode node = new BrokenNode(driver, answer, new LinkedBlockingQueue<>());
-        driver.attach(
+        BrokenEndpoint node = new BrokenEndpoint(forwarder, answer, new LinkedBlockingQueue<>());
+        forwarder.attach(
                 node,
                 StubFactory.create(EndpointDiscovery.class, (action, with) -> {}),
                 StubFactory.create(PeerTransport.class, (action, with) -> {}));
         InetSocketAddress at =
                 new HttpServer(
                                 loop,
-                                driver,
+                                forwarder,
                                 fields(),
                                 () -> true,
                                 ClientLimits.DEFAULT,
                                 10,
                                 new BufferAccount(1000))
                         .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
-        try (Socket caller = new Socket(at.getAddress(), at.getPort())) {
-            caller.setSoTimeout(20_000);
-            caller.getOutputStream()
+        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+            client.setSoTimeout(20_000);
+            client.getOutputStream()
                     .write(
                             ("GET /api HTTP/1.1\r\n"
                                             + "Host: a\r\n"
@@ -339,16 +341,16 @@
                                             + "Req-Owner: acme\r\n"
                                             + "Req-Deadline-Ms: 30000\r\n\r\n")
                                     .getBytes());
-            assertEquals(caller.getInputStream().read(), -1);
+            assertEquals(client.getInputStream().read(), -1);
         }
-        assertEquals(told.poll(20, TimeUnit.SECONDS), LoadBalancer.Outcome.OK);
+        assertEquals(outcomes.poll(20, TimeUnit.SECONDS), LoadBalancer.Outcome.OK);
         loop.run(loop::stop);
         return node;
     }
 
     /** An endpoint whose responses can't be passed on. */
-    private record BrokenNode(
-            RequestForwarder<HttpMessage, HttpMessage> driver,
+    private record BrokenEndpoint(
+            RequestForwarder<HttpMessage, HttpMessage> forwarder,
             BiConsumer<
                             RequestForwarder<HttpMessage, HttpMessage>,
                             RequestAttempt<HttpMessage, HttpMessage>>
@@ -363,7 +365,7 @@
 
         @Override
         public void startAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
-            answer.accept(driver, attempt);
+            answer.accept(forwarder, attempt);
         }
 
         @Override
