--- a/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
+++ b/daemon/src/main/java/cedarrudder/protocol/EndpointListReader.java
@@ -33,7 +33,7 @@
      */
     private static final int ENTRY_CHARS = 100;
 
-    /** Length of the largest text so far; a watch retains a buffer of this size. */
+    /** Characters of the largest text so far; a watch retains a buffer of this size. */
     private long largestText;
 
     private Judged last;
--- a/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MetricsPage.java
@@ -20,8 +20,8 @@
      * The memory use of the process, with its limits.
      *
      * @param list the outcome of the last list
-     * @param all what is loaded now, and what reading the same list again takes at the peak
-     * @param node what one more endpoint takes
+     * @param all the memory of what is loaded now, and at the peak of reading the same list again
+     * @param node the memory that one more endpoint takes
      * @param resident resident memory in bytes
      * @param nearest the limit that is nearest
      * @param capacity the largest route table and list that fit
--- a/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/FlowDecodingTest.java
@@ -69,13 +69,13 @@
                 requests
                         ? "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nok"
                         : "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-        String two = text + small;
+        String bothMessages = text + small;
         List<String> expected = List.of(BODY, "ok");
-        assertEquals(decode(requests, two), expected);
-        assertEquals(decode(requests, two.split("")), expected);
-        for (int cut = 1; cut < two.length(); cut++) {
+        assertEquals(decode(requests, bothMessages), expected);
+        assertEquals(decode(requests, bothMessages.split("")), expected);
+        for (int cut = 1; cut < bothMessages.length(); cut++) {
             assertEquals(
-                    decode(requests, two.substring(0, cut), two.substring(cut)),
+                    decode(requests, bothMessages.substring(0, cut), bothMessages.substring(cut)),
                     expected,
                     "cut " + cut);
         }
--- a/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
+++ b/daemon/src/test/java/cedarrudder/protocol/IndependentReadingTest.java
@@ -17,9 +17,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Compares this decoder with Netty's own, which shares no code with this one, on mutated requests.
- * Where two parties parse the same bytes as different requests, one request can be smuggled past
- * the first party.
+ * Compares HttpDecoder with the decoder of Netty, which shares no code with it, on mutated
+ * requests. Where two parties parse the same bytes as different requests, one request can be
+ * smuggled past the first party.
  */
 public class IndependentReadingTest {
 
@@ -95,7 +95,7 @@
         return text.append(FOLLOWING_REQUEST).toString();
     }
 
-    private static Reading ours(String text) {
+    private static Reading readByProxy(String text) {
         List<ParsedRequest> requests = new ArrayList<>();
         HttpDecoder decoder = HttpDecoder.ofRequests(HttpDecoder.MAX_HEAD, HttpDecoder.MAX_BODY);
         ByteBuf in = Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
@@ -114,7 +114,7 @@
         }
     }
 
-    private static Reading theirs(String text) {
+    private static Reading readByNetty(String text) {
         EmbeddedChannel channel =
                 new EmbeddedChannel(
                         new HttpRequestDecoder(), new HttpObjectAggregator(HttpDecoder.MAX_BODY));
@@ -155,9 +155,9 @@
         int both = 0;
         for (int run = 0; run < RUNS; run++) {
             String text = mutatedRequests(random);
-            Reading ours = ours(text);
-            Reading theirs = theirs(text);
-            int common = Math.min(ours.requests().size(), theirs.requests().size());
+            Reading byProxy = readByProxy(text);
+            Reading byNetty = readByNetty(text);
+            int common = Math.min(byProxy.requests().size(), byNetty.requests().size());
             both += common;
             String where =
                     "seed "
@@ -167,19 +167,20 @@
                             + ": "
                             + printable(text)
                             + "\n"
-                            + ours
+                            + byProxy
                             + "\n"
-                            + theirs;
+                            + byNetty;
             for (int i = 0; i < common; i++) {
-                if (!ours.requests().get(i).equals(theirs.requests().get(i))) {
+                if (!byProxy.requests().get(i).equals(byNetty.requests().get(i))) {
                     differences.putIfAbsent("other", where);
                 }
             }
-            if (ours.requests().size() > common) {
+            if (byProxy.requests().size() > common) {
                 differences.putIfAbsent(
-                        theirs.rejected() ? "only ours accepts" : "theirs is incomplete", where);
-            } else if (!ours.rejected() && theirs.requests().size() > common) {
-                differences.putIfAbsent("ours is incomplete", where);
+                        byNetty.rejected() ? "only the proxy accepts" : "only Netty waits for more",
+                        where);
+            } else if (!byProxy.rejected() && byNetty.requests().size() > common) {
+                differences.putIfAbsent("only the proxy waits for more", where);
             }
         }
         assertTrue(both > RUNS / 4, "requests accepted by both: " + both);
