--- a/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
+++ b/daemon/src/main/java/cedarrudder/protocol/JsonObject.java
@@ -12,8 +12,8 @@
 
 /**
  * A JSON object, read with the streaming parser, and its path for messages. The readers throw an
- * IllegalArgumentException that says what is missing or wrong. A default of null, or a reader
- * without a default, makes a key required.
+ * IllegalArgumentException that says what is missing or wrong. A default of null makes a key
+ * required; a reader without a default documents whether its key is required.
  */
 public final class JsonObject {
 
