--- a/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/AdapterCommand.java
@@ -19,7 +19,8 @@
 @Command(
         name = "adapter",
         description =
-                "Hosts the decisions on the simulator's wire, on standard input and " + "output.")
+                "Serves the decisions in the simulator's wire format on standard input and "
+                        + "output.")
 final class AdapterCommand implements Callable<Integer> {
 
     @Spec private CommandSpec spec;
@@ -28,9 +29,9 @@
             names = "--set",
             paramLabel = "NAME=VALUE",
             description =
-                    "Gives one figure of the decisions "
-                            + "another value, such as max-age-ms=1500. It may be given again.")
-    private List<String> figures = new ArrayList<>();
+                    "Sets one parameter of the decisions "
+                            + "to another value, such as max-age-ms=1500. May be repeated.")
+    private List<String> parameters = new ArrayList<>();
 
     @Option(
             names = {"-h", "--help"},
@@ -40,12 +41,12 @@
 
     @Override
     public Integer call() {
-        BalancerParameters tuning;
+        BalancerParameters balancerParameters;
         try {
-            tuning = BalancerParametersParser.parse(figures);
+            balancerParameters = BalancerParametersParser.parse(parameters);
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage(), e);
         }
-        return SimulatorHost.run(tuning);
+        return SimulatorHost.run(balancerParameters);
     }
 }
--- a/daemon/src/main/java/cedarrudder/program/CheckCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/CheckCommand.java
@@ -28,10 +28,10 @@
 @Command(
         name = "check",
         description =
-                "Finds all that is wrong with operator's files and starts nothing. Each problem is"
-                    + " one line on standard output: file and line, key, what was found, what is"
-                    + " allowed. With --list tells what a list of nodes takes of a process with the"
-                    + " given limits. Exit code 1 where something is wrong or does not fit.")
+                "Finds all errors in operator's files and starts nothing. Each problem is one line"
+                    + " on standard output: file and line, key, what was found, what is allowed."
+                    + " With --list, reports what a list of nodes needs of a process with the given"
+                    + " limits. Exit code 1 where something is wrong or does not fit.")
 final class CheckCommand implements Callable<Integer> {
 
     private static final Pattern SIZE = Pattern.compile("([1-9][0-9]{0,11})([kmg]?)");
@@ -45,14 +45,14 @@
             names = "--list",
             paramLabel = "FILE",
             description =
-                    "A list of nodes as discovery tells it, or a configuration with one; needs"
-                            + " --heap. The last operator's file says what lists may take.")
+                    "A list of nodes as discovery sends it, or a configuration with one; needs"
+                            + " --heap. The last operator's file sets the limits for lists.")
     private Path list;
 
     @Option(
             names = "--held",
             paramLabel = "FILE",
-            description = "The list that is held when the other comes.")
+            description = "The list that is loaded when the other one arrives.")
     private Path before;
 
     @Option(
@@ -61,16 +61,19 @@
             description = "The heap's maximum, as in -Xmx: 56m.")
     private String heap;
 
-    @Option(names = "--direct", paramLabel = "SIZE", description = "The most direct memory.")
+    @Option(names = "--direct", paramLabel = "SIZE", description = "The maximum of direct memory.")
     private String direct;
 
     @Option(
             names = "--memory",
             paramLabel = "SIZE",
-            description = "The most of the machine's memory.")
+            description = "The maximum of the machine's memory.")
     private String memory;
 
-    @Option(names = "--descriptors", paramLabel = "N", description = "The most descriptors.")
+    @Option(
+            names = "--descriptors",
+            paramLabel = "N",
+            description = "The maximum number of descriptors.")
     private long descriptors;
 
     @Option(
--- a/daemon/src/main/java/cedarrudder/program/DrainWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/DrainWiring.java
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Proposes the policies of this replica's file at intervals until they are in force, unless
-     * others overrule them.
+     * Proposes the policies of this replica's file at intervals until they are in force, and logs
+     * when other policies overrule them.
      */
     void proposePolicies(ReplicaCoordinator fleet) {
         loop.at(loop.now() + PROPOSAL_INTERVAL_NANOS, () -> proposePolicies(fleet));
@@ -189,12 +189,12 @@
      */
     private void completeIfSettled(AdminRequest request) {
         if (request.openProposals == 0) {
-            boolean noneAccepted =
+            boolean anyNotAccepted =
                     !request.cancel
                             && request.nodes.stream()
                                     .anyMatch(node -> drains.state(node) == DrainState.NONE);
             request.listener.accept(
-                    request.failed || noneAccepted
+                    request.failed || anyNotAccepted
                             ? OperationResult.UNAVAILABLE
                             : OperationResult.DONE);
         }
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -38,7 +38,7 @@
     private static final int SURVIVORS = 30;
 
     /** The endpoint list in a file, and the configuration around it; null where there is none. */
-    private record Read(JsonObject list, JsonObject configuration) {}
+    private record ListFile(JsonObject list, JsonObject configuration) {}
 
     private final ObjectLayout layout = MachineLayout.read();
     private final ProcessFootprint replica = new ProcessFootprint(layout);
@@ -69,7 +69,7 @@
      * @return whether all endpoints fit, at once or in steps
      */
     boolean check(Path file, Path before) {
-        Read files;
+        ListFile files;
         JsonObject held;
         try {
             files = read(file);
@@ -200,7 +200,7 @@
     }
 
     /** Reads a list in the form that discovery sends, or a configuration with its initial list. */
-    private static Read read(Path file) {
+    private static ListFile read(Path file) {
         JsonObject json;
         try {
             json = JsonObject.parse(Files.readString(file));
@@ -219,7 +219,7 @@
             if (!bare) {
                 SettingsReader.read(json.child("settings"));
             }
-            return new Read(list, bare ? null : json);
+            return new ListFile(list, bare ? null : json);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(
                     file
--- a/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
@@ -198,7 +198,7 @@
             }
             pollsAwaitingPredecessor = 0;
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // the loop ends
+            Thread.currentThread().interrupt(); // the loop is ending
         }
     }
 
@@ -244,7 +244,7 @@
         } catch (IOException e) {
             warnUnreadable(e.toString());
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // the loop ends
+            Thread.currentThread().interrupt(); // the loop is ending
         }
     }
 
--- a/daemon/src/main/java/cedarrudder/program/ServeCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/ServeCommand.java
@@ -17,22 +17,22 @@
             names = "--operator",
             paramLabel = "FILE",
             description =
-                    "The operator's file; SIGHUP reads it "
-                            + "again. Without it every feature in it is off.")
+                    "The operator's file; SIGHUP reloads it. "
+                            + "Without the file, every feature in it is off.")
     private Path operator;
 
     @Option(
             names = "--log-format",
             paramLabel = "FORMAT",
-            description = "The form of the log's lines, " + "whatever the file says: text or json.")
+            description = "The format of the log's lines, " + "overriding the file: text or json.")
     private LogConfiguration.Form form;
 
     @Option(
             names = "--log-level",
             paramLabel = "LEVEL",
             description =
-                    "Events below it are left out, "
-                            + "whatever the file says: debug, info, warn or error.")
+                    "Events below this level are left out, "
+                            + "overriding the file: debug, info, warn or error.")
     private Level level;
 
     @Option(
--- a/daemon/src/main/java/cedarrudder/program/VersionCommand.java
+++ b/daemon/src/main/java/cedarrudder/program/VersionCommand.java
@@ -6,7 +6,9 @@
 import picocli.CommandLine.Spec;
 
 /** Implements {@code version}: prints the version of the build, and of the Java runtime. */
-@Command(name = "version", description = "Says which version this is, and which Java runs it.")
+@Command(
+        name = "version",
+        description = "Prints the version of the program and of the Java runtime.")
 final class VersionCommand implements Runnable {
 
     @Spec private CommandSpec spec;
--- a/stress/src/main/java/cedarrudder/program/HandOvers.java
+++ b/stress/src/main/java/cedarrudder/program/HandOvers.java
@@ -16,17 +16,22 @@
 import org.openjdk.jcstress.infra.results.ZZ_Result;
 
 /**
- * Stress tests of each true hand-over between threads of the daemon. All other code runs on the loop alone.
+ * Stress tests of each true hand-over between threads of the daemon. All other code runs on the
+ * loop alone.
  */
 public final class HandOvers {
 
     private HandOvers() {}
 
     /**
-     * The start begins to listen on the clients' address while SIGTERM arrives: one of the two must observe the other.
+     * The start begins to listen on the clients' address while SIGTERM arrives: one of the two must
+     * observe the other.
      */
     @JCStressTest
-    @Outcome(id = "true, true", expect = ACCEPTABLE, desc = "joined first: the shutdown waits for clients")
+    @Outcome(
+            id = "true, true",
+            expect = ACCEPTABLE,
+            desc = "joined first: the shutdown waits for clients")
     @Outcome(id = "false, false", expect = ACCEPTABLE, desc = "ended first: no client connected")
     @Outcome(
             expect = FORBIDDEN,
@@ -49,7 +54,8 @@
     }
 
     /**
-     * The loop and another thread write a line each while the log's thread writes: none is lost or mixed.
+     * The loop and another thread write a line each while the log's thread writes: none is lost or
+     * mixed.
      */
     @JCStressTest
     @Outcome(id = "11, 1", expect = ACCEPTABLE, desc = "both lines, whole")
@@ -83,7 +89,8 @@
     }
 
     /**
-     * A signal arrives while the files are read for another one: one of the two reads what changed before it.
+     * A signal arrives while the files are read for another one: one of the two reads what changed
+     * before it.
      */
     @JCStressTest
     @Outcome(id = "1", expect = ACCEPTABLE, desc = "the change was read")
