--- a/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/AdminOperationsTest.java
@@ -87,7 +87,7 @@
                 Client busy = harness.client();
                 Client idle = harness.client();
                 Client silent = harness.client()) {
-            serveOn(harness, idle, "idle");
+            serveOnConnection(harness, idle, "idle");
             busy.send(ProxyHarness.request("order", "/api", "x").replace("id-1", "busy"));
             Received open = harness.nextRequest();
             assertEquals(harness.status("POST", "/-/drain"), 200);
@@ -106,8 +106,8 @@
             assertEquals(harness.status("POST", "/-/resume"), 200);
             assertEquals(health(harness), "HTTP/1.1 200 OK");
             try (Client back = harness.client()) {
-                serveOn(harness, back, "one");
-                serveOn(harness, back, "two");
+                serveOnConnection(harness, back, "one");
+                serveOnConnection(harness, back, "two");
             }
         }
     }
@@ -129,7 +129,7 @@
             assertEquals(metric(harness, "out_of_rotation"), 1);
             assertEquals(metric(harness, "registry_entries"), 2);
             for (int i = 0; i < 30; i++) {
-                assertEquals(served(harness, client, "one-" + i), nodePort(harness, 1));
+                assertEquals(servingPort(harness, client, "one-" + i), endpointPort(harness, 1));
             }
             assertEquals(harness.status("POST", "/-/nodes/n1/disable"), 200);
             client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "none"));
@@ -146,7 +146,7 @@
                 client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "two-" + i));
                 Received request = harness.requests.poll(300, TimeUnit.MILLISECONDS);
                 if (request != null) {
-                    assertEquals(request.socket().getLocalPort(), nodePort(harness, 0));
+                    assertEquals(request.socket().getLocalPort(), endpointPort(harness, 0));
                     request.reply("200 OK", "x");
                     answered++;
                 }
@@ -173,9 +173,10 @@
             assertEquals(health(harness), "HTTP/1.1 200 OK");
             assertEquals(harness.status("POST", "/-/nodes/n0/enable"), 200);
             assertEquals(metric(harness, "out_of_rotation"), 0);
-            try (Stream<Path> left = Files.list(harness.state)) {
+            try (Stream<Path> remaining = Files.list(harness.state)) {
                 assertEquals(
-                        left.filter(file -> !file.toString().endsWith("processes")).count(), 0);
+                        remaining.filter(file -> !file.toString().endsWith("processes")).count(),
+                        0);
             }
         }
         try (ProxyHarness harness = new ProxyHarness(1).withAdmin()) {
@@ -195,7 +196,7 @@
                 Client client = harness.client()) {
             String before = page(harness);
             assertTrue(before.contains("\"order\":{\"fulfilled\":0"), before);
-            serveOn(harness, client, "served");
+            serveOnConnection(harness, client, "served");
             client.send(ProxyHarness.request("order", "/api", "x").replace("id-1", "failed"));
             harness.nextRequest().reply("500 Broken", "");
             assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
@@ -222,12 +223,13 @@
         return JsonObject.parse(page(harness)).integer(name);
     }
 
-    private static int nodePort(ProxyHarness harness, int node) {
-        return harness.nodes.get(node).server.getLocalPort();
+    private static int endpointPort(ProxyHarness harness, int endpoint) {
+        return harness.nodes.get(endpoint).server.getLocalPort();
     }
 
     /** Serves a request and returns the port of the endpoint that it reached. */
-    private static int served(ProxyHarness harness, Client client, String id) throws Exception {
+    private static int servingPort(ProxyHarness harness, Client client, String id)
+            throws Exception {
         client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", id));
         Received request = harness.nextRequest();
         request.reply("200 OK", id);
@@ -243,11 +245,12 @@
 
     private static void serve(ProxyHarness harness, String text) throws Exception {
         try (Client client = harness.client()) {
-            serveOn(harness, client, text);
+            serveOnConnection(harness, client, text);
         }
     }
 
-    private static void serveOn(ProxyHarness harness, Client client, String text) throws Exception {
+    private static void serveOnConnection(ProxyHarness harness, Client client, String text)
+            throws Exception {
         client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", text));
         harness.nextRequest().reply("200 OK", text);
         assertEquals(client.read().body(), text);
--- a/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BodyScenarioTest.java
@@ -29,17 +29,18 @@
 public class BodyScenarioTest {
 
     private static final int LARGE = 32 * 1024 * 1024;
-    private static final int MANY = 40;
+    private static final int SLOW_CLIENTS = 40;
     private static final String STAYS = "/stays-for-test";
 
     /** Writes pseudo-random bytes from a seed, so that misplaced bytes change the checksum. */
-    private static void write(OutputStream out, long seed, int length, boolean chunked, CRC32 sum)
+    private static void write(
+            OutputStream out, long seed, int length, boolean chunked, CRC32 checksum)
             throws IOException {
         Random random = new Random(seed);
-        for (int left = length; left > 0; ) {
-            byte[] piece = new byte[Math.min(left, 1 + random.nextInt(50_000))];
+        for (int remaining = length; remaining > 0; ) {
+            byte[] piece = new byte[Math.min(remaining, 1 + random.nextInt(50_000))];
             random.nextBytes(piece);
-            sum.update(piece);
+            checksum.update(piece);
             if (chunked) {
                 out.write(
                         (Integer.toHexString(piece.length) + ";x=y\r\n")
@@ -49,7 +50,7 @@
             if (chunked) {
                 out.write("\r\n".getBytes(StandardCharsets.ISO_8859_1));
             }
-            left -= piece.length;
+            remaining -= piece.length;
         }
         if (chunked) {
             out.write("0\r\nX-Trailer: t\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -69,30 +70,30 @@
 
     /** Reads a body and returns its checksum; a negative length means chunked encoding. */
     private static CRC32 read(InputStream in, int length) throws IOException {
-        CRC32 sum = new CRC32();
+        CRC32 checksum = new CRC32();
         if (length >= 0) {
-            update(sum, in, length);
-            return sum;
+            update(checksum, in, length);
+            return checksum;
         }
         for (int size = Integer.parseInt(line(in), 16);
                 size > 0;
                 size = Integer.parseInt(line(in), 16)) {
-            update(sum, in, size);
+            update(checksum, in, size);
             line(in);
         }
         line(in);
-        return sum;
+        return checksum;
     }
 
-    private static void update(CRC32 sum, InputStream in, int length) throws IOException {
+    private static void update(CRC32 checksum, InputStream in, int length) throws IOException {
         byte[] piece = new byte[64 * 1024];
-        for (int left = length; left > 0; ) {
-            int got = in.read(piece, 0, Math.min(left, piece.length));
+        for (int remaining = length; remaining > 0; ) {
+            int got = in.read(piece, 0, Math.min(remaining, piece.length));
             if (got < 0) {
-                throw new IOException("connection ended " + left + " bytes too soon");
+                throw new IOException("connection ended " + remaining + " bytes too soon");
             }
-            sum.update(piece, 0, got);
-            left -= got;
+            checksum.update(piece, 0, got);
+            remaining -= got;
         }
     }
 
@@ -113,8 +114,8 @@
                 TestEndpoints.daemon(() -> write(client.out(), 7, LARGE, true, sent));
                 Received request = harness.nextRequest();
                 assertEquals(request.field("Transfer-Encoding"), "chunked");
-                Socket node = request.socket();
-                assertEquals(read(node.getInputStream(), -1).getValue(), sum(7));
+                Socket endpoint = request.socket();
+                assertEquals(read(endpoint.getInputStream(), -1).getValue(), checksum(7));
                 request.raw(
                         "HTTP/1.1 200 OK\r\n"
                                 + (chunked
@@ -123,21 +124,21 @@
                                 + "\r\nConnection: close\r\n\r\n");
                 TestEndpoints.daemon(
                         () -> {
-                            write(node.getOutputStream(), 9, LARGE, chunked, new CRC32());
-                            node.close();
+                            write(endpoint.getOutputStream(), 9, LARGE, chunked, new CRC32());
+                            endpoint.close();
                         });
                 Received head = client.readHead();
                 assertEquals(head.first(), "HTTP/1.1 200 OK");
                 assertEquals(head.field("Content-Length"), chunked ? null : String.valueOf(LARGE));
-                assertEquals(read(client.in(), chunked ? -1 : LARGE).getValue(), sum(9));
+                assertEquals(read(client.in(), chunked ? -1 : LARGE).getValue(), checksum(9));
             }
         }
     }
 
-    private static long sum(long seed) throws IOException {
-        CRC32 sum = new CRC32();
-        write(OutputStream.nullOutputStream(), seed, LARGE, false, sum);
-        return sum.getValue();
+    private static long checksum(long seed) throws IOException {
+        CRC32 checksum = new CRC32();
+        write(OutputStream.nullOutputStream(), seed, LARGE, false, checksum);
+        return checksum.getValue();
     }
 
     /**
@@ -148,7 +149,7 @@
             throws Exception {
         try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start()) {
             List<Client> slow = new ArrayList<>();
-            for (int i = 0; i < MANY; i++) {
+            for (int i = 0; i < SLOW_CLIENTS; i++) {
                 Client client = harness.client();
                 slow.add(
                         client.send(
@@ -168,17 +169,19 @@
                                         false,
                                         new CRC32()));
                 assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
-                long held =
+                long bufferedBytes =
                         JsonObject.parse(harness.operator("GET", "/-/metrics").body())
                                 .integer("held_bytes");
-                assertTrue(held <= MANY * 2 * 64 * 1024, held + " bytes are buffered");
+                assertTrue(
+                        bufferedBytes <= SLOW_CLIENTS * 2 * 64 * 1024,
+                        bufferedBytes + " bytes are buffered");
             }
             try (Client other = harness.client()) {
                 other.send(ProxyHarness.request("lookup", "/api", ""));
                 harness.nextRequest().reply("200 OK", "small");
                 assertEquals(other.read().body(), "small");
             }
-            assertEquals(read(slow.get(MANY - 1).in(), LARGE).getValue(), sum(3));
+            assertEquals(read(slow.get(SLOW_CLIENTS - 1).in(), LARGE).getValue(), checksum(3));
             for (Client client : slow) {
                 client.close();
             }
--- a/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/BudgetScenarioTest.java
@@ -47,15 +47,15 @@
     }
 
     /** Returns the number of a key in a header field, or -1 if there is none. */
-    private static double figure(Received message, String field, String key) {
+    private static double number(Received message, String field, String key) {
         Matcher found =
                 Pattern.compile(";" + key + "=([0-9.]+)")
                         .matcher(String.valueOf(message.field(field)));
         return found.find() ? Double.parseDouble(found.group(1)) : -1;
     }
 
-    private static double tries(Received request) {
-        return figure(request, "Cedar-Budget", "tries");
+    private static double retries(Received request) {
+        return number(request, "Cedar-Budget", "tries");
     }
 
     // ---- propagation ----
@@ -79,11 +79,11 @@
             assertEquals(request.field("Idempotency-Key"), "k1");
             assertEquals(request.field("Other"), "o");
             assertEquals(request.field("Cedar-Colour"), "red", "unknown fields are forwarded");
-            assertEquals(tries(request), 2.0);
-            double left = figure(request, "Cedar-Budget", "left");
+            assertEquals(retries(request), 2.0);
+            double remaining = number(request, "Cedar-Budget", "left");
             assertTrue(
-                    left > 0 && left < Long.parseLong(request.field("Req-Deadline-Ms")),
-                    "left " + left);
+                    remaining > 0 && remaining < Long.parseLong(request.field("Req-Deadline-Ms")),
+                    "left " + remaining);
             assertEquals(request.field("Cedar-Path"), "1;front");
             request.reply("200 OK", "done", "Cedar-Result: 1;spent=0", "Other: p");
             Received answer = client.read();
@@ -127,8 +127,8 @@
                     ProxyHarness.request("lookup", "/stays-for-test", "")
                             .replace("Req-Deadline-Ms: 30000\r\n", ""));
             Received request = harness.nextRequest();
-            long left = Long.parseLong(request.field("Req-Deadline-Ms"));
-            assertTrue(left > 0 && left <= 667, "two thirds of a second: " + left);
+            long remaining = Long.parseLong(request.field("Req-Deadline-Ms"));
+            assertTrue(remaining > 0 && remaining <= 667, "two thirds of a second: " + remaining);
             assertEquals(client.read().first(), "HTTP/1.1 502 Bad Gateway");
             request.awaitEnd();
         }
@@ -169,9 +169,9 @@
                 Client client = harness.client()) {
             client.send(ProxyHarness.request("order", "/api", "x", fields));
             Received request = harness.nextRequest();
-            assertTrue(tries(request) <= max, request.field("Cedar-Budget"));
-            assertTrue(figure(request, "Cedar-Budget", "left") < 30_000);
-            assertTrue(figure(request, "Cedar-Budget", "worth") <= 1);
+            assertTrue(retries(request) <= max, request.field("Cedar-Budget"));
+            assertTrue(number(request, "Cedar-Budget", "left") < 30_000);
+            assertTrue(number(request, "Cedar-Budget", "worth") <= 1);
             assertEquals(request.field("Cedar-Path"), "1;core");
             assertFalse(request.field("Cedar-Budget").contains("colour"));
             request.reply("200 OK", "fine", "Cedar-Result: 1;spent=-9;why=because;path=?");
@@ -196,20 +196,20 @@
                                                 + "\"key-scope\": \"cell\"")
                                 .start();
                 Client client = harness.client()) {
-            for (int tries = 1; tries >= 0; tries--) {
+            for (int retries = 1; retries >= 0; retries--) {
                 client.send(
                         ProxyHarness.request(
                                 "booking",
                                 "/api",
                                 "x",
                                 "Idempotency-Key: k",
-                                "Cedar-Budget: 1;tries=" + tries + ";grant=" + (7 + tries)));
-                for (int i = 0; i <= tries; i++) {
+                                "Cedar-Budget: 1;tries=" + retries + ";grant=" + (7 + retries)));
+                for (int i = 0; i <= retries; i++) {
                     harness.nextRequest().reset();
                 }
                 Received answer = client.read();
                 assertEquals(answer.first(), "HTTP/1.1 502 Bad Gateway");
-                assertEquals(answer.field("Cedar-Result"), "1;spent=" + tries + ";why=tries");
+                assertEquals(answer.field("Cedar-Result"), "1;spent=" + retries + ";why=tries");
                 assertTrue(harness.requests.isEmpty());
             }
         }
@@ -268,8 +268,8 @@
         try (ProxyHarness harness = harness(1, 3).start();
                 Client client = harness.client()) {
             String budget = "Cedar-Budget: 1;tries=3;grant=";
-            int refused = 0;
-            for (int i = 1; refused == 0; i++) {
+            int rejected = 0;
+            for (int i = 1; rejected == 0; i++) {
                 assertTrue(i < 20_000, "every request is admitted");
                 // The priority weight is 1 in 300 ms for lookups and 2 in 1,000 for orders: orders
                 // weigh less for their work.
@@ -292,7 +292,7 @@
                     next.reply("200 OK", "");
                     assertEquals(harness.nextRequest().first(), "HTTP/1.1 200 OK");
                 } else {
-                    refused++;
+                    rejected++;
                     assertEquals(next.first(), "HTTP/1.1 503 Service Unavailable");
                     assertEquals(next.field("Cedar-Result"), "1;spent=0;why=overload");
                 }
@@ -356,7 +356,7 @@
             client.send(ProxyHarness.request("order", "/api", "x"));
             Received request = link.nextRequest();
             assertEquals(request.field("Cedar-Path"), "1;front,link");
-            assertEquals(tries(request), 0.0, "the last tier passes no retries on");
+            assertEquals(retries(request), 0.0, "the last tier passes no retries on");
             request.reply("200 OK", "through");
             assertEquals(client.read().body(), "through");
         }
@@ -371,7 +371,7 @@
             client.send(ProxyHarness.request("lookup", "/api", ""));
             Received first = core.nextRequest();
             assertEquals(first.field("Cedar-Path"), "1;core");
-            assertEquals(tries(first), 0.0);
+            assertEquals(retries(first), 0.0);
             first.reset();
             Received second = core.nextRequest();
             assertNotEquals(second.socket().getLocalPort(), first.socket().getLocalPort());
--- a/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
@@ -20,14 +20,14 @@
  */
 public class FaultScenarioTest {
 
-    private static long figure(ProxyHarness harness, String name) throws IOException {
+    private static long metric(ProxyHarness harness, String name) throws IOException {
         return JsonObject.parse(harness.operator("GET", "/-/metrics").body()).integer(name);
     }
 
-    private static void awaitFigure(ProxyHarness harness, String name, long value)
+    private static void awaitMetric(ProxyHarness harness, String name, long value)
             throws Exception {
-        for (int i = 0; figure(harness, name) != value; i++) {
-            assertTrue(i < 5_000, name + " stays at " + figure(harness, name));
+        for (int i = 0; metric(harness, name) != value; i++) {
+            assertTrue(i < 5_000, name + " stays at " + metric(harness, name));
             Thread.sleep(1);
         }
     }
@@ -46,9 +46,7 @@
     @Test
     public void aBodyThatNoEndpointReceivedIsReleasedAfterItsAnswer() throws Exception {
         try (ProxyHarness harness = new ProxyHarness(1).withAdmin()) {
-            harness.nodes
-                    .get(0)
-                    .close(); // closed first, so that no probe's connection to it remains
+            harness.nodes.get(0).close(); // so that no probe is connected
             harness.start();
             for (int i = 0; i < 20; i++) {
                 try (Client client = harness.client()) {
@@ -60,8 +58,8 @@
                     assertEquals(client.read().first(), "HTTP/1.1 503 Service Unavailable");
                 }
             }
-            awaitFigure(harness, "held_bytes", 0);
-            assertEquals(figure(harness, "open_requests"), 0);
+            awaitMetric(harness, "held_bytes", 0);
+            assertEquals(metric(harness, "open_requests"), 0);
         }
     }
 
@@ -72,10 +70,10 @@
                 Client client = harness.client()) {
             client.send(ProxyHarness.request("order", "/api", "x".repeat(1000)));
             Received received = harness.nextRequest();
-            assertEquals(figure(harness, "held_bytes"), 1000);
+            assertEquals(metric(harness, "held_bytes"), 1000);
             received.reply("200 OK", "done");
             assertEquals(client.read().body(), "done");
-            awaitFigure(harness, "held_bytes", 0);
+            awaitMetric(harness, "held_bytes", 0);
         }
     }
 
@@ -91,7 +89,7 @@
             harness.nextRequest();
             client.send("what\r\n");
             assertEquals(client.readAll().split("HTTP/1.1 ", -1).length - 1, 1, "answers");
-            awaitFigure(harness, "open_requests", 0);
+            awaitMetric(harness, "open_requests", 0);
             assertEquals(
                     JsonObject.parse(harness.operator("GET", "/-/metrics").body())
                             .child("operations")
@@ -152,7 +150,7 @@
     @Test
     public void anEndpointThatBreaksOffItsAnswersCountsAsFailing() throws Exception {
         try (ProxyHarness harness = new ProxyHarness(1).withAdmin().start()) {
-            for (int i = 0; i < 8 && figure(harness, "out_of_rotation") == 0; i++) {
+            for (int i = 0; i < 8 && metric(harness, "out_of_rotation") == 0; i++) {
                 try (Client client = harness.client()) {
                     client.send(
                             ProxyHarness.request("lookup", "/stays-for-test", "")
@@ -163,10 +161,10 @@
                                     + "x".repeat(100_000));
                     assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
                     received.socket().close();
-                    awaitFigure(harness, "open_requests", 0);
+                    awaitMetric(harness, "open_requests", 0);
                 }
             }
-            assertEquals(figure(harness, "out_of_rotation"), 1);
+            assertEquals(metric(harness, "out_of_rotation"), 1);
         }
     }
 
@@ -183,8 +181,8 @@
                 assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
             }
             received.awaitEnd();
-            awaitFigure(harness, "open_requests", 0);
-            awaitFigure(harness, "held_bytes", 0);
+            awaitMetric(harness, "open_requests", 0);
+            awaitMetric(harness, "held_bytes", 0);
             assertFalse(harness.log.toString().contains("failed"), harness.log.toString());
         }
     }
@@ -214,8 +212,8 @@
                             "cut at " + cut);
                 }
             }
-            awaitFigure(harness, "open_requests", 0);
-            assertEquals(figure(harness, "relayed"), answer.length() + 1);
+            awaitMetric(harness, "open_requests", 0);
+            assertEquals(metric(harness, "relayed"), answer.length() + 1);
         }
     }
 
@@ -277,10 +275,10 @@
                 reachedEndpoints.add(next);
                 continue;
             }
-            JsonObject figures = JsonObject.parse(harness.operator("GET", "/-/metrics").body());
-            long refused = figures.child("operations").child("order").integer("throttled");
-            if (figures.integer("open_requests") == reachedEndpoints.size()
-                    && reachedEndpoints.size() + refused == requests) {
+            JsonObject metrics = JsonObject.parse(harness.operator("GET", "/-/metrics").body());
+            long rejected = metrics.child("operations").child("order").integer("throttled");
+            if (metrics.integer("open_requests") == reachedEndpoints.size()
+                    && reachedEndpoints.size() + rejected == requests) {
                 return reachedEndpoints;
             }
         }
@@ -349,7 +347,7 @@
 
     /**
      * A client must not wait ten minutes, nor its memory stay in use as long, for an endpoint that
-     * stops reading in the middle of a body, since the deadline counts only from the end of the
+     * stops reading in the middle of a body, since a request has no deadline before the end of its
      * body. The bound is 30 s.
      */
     @Test
@@ -368,13 +366,13 @@
                         }
                     });
             harness.nextRequest();
-            assertEquals(patiently(client).first(), "HTTP/1.1 503 Service Unavailable");
-            awaitFigure(harness, "held_bytes", 0);
+            assertEquals(readPatiently(client).first(), "HTTP/1.1 503 Service Unavailable");
+            awaitMetric(harness, "held_bytes", 0);
         }
     }
 
     /** Returns the client's next answer, which may take longer than other tests wait. */
-    private static Received patiently(Client client) throws IOException {
+    private static Received readPatiently(Client client) throws IOException {
         for (int i = 0; i < 2; i++) {
             try {
                 return client.read();
--- a/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
@@ -41,17 +41,17 @@
                 .replace("id-1", id);
     }
 
-    private static JsonObject figures(ProxyHarness harness) throws IOException {
+    private static JsonObject metrics(ProxyHarness harness) throws IOException {
         return JsonObject.parse(harness.operator("GET", "/-/metrics").body());
     }
 
     private static void awaitOpen(ProxyHarness harness, int requests) throws Exception {
         Await.until(
-                requests + " open", () -> figures(harness).integer("open_requests") == requests);
+                requests + " open", () -> metrics(harness).integer("open_requests") == requests);
     }
 
-    private static long left(ProxyHarness harness, String kind) throws IOException {
-        return figures(harness).child("operations").child(kind).integer("left");
+    private static long leftCount(ProxyHarness harness, String kind) throws IOException {
+        return metrics(harness).child("operations").child(kind).integer("left");
     }
 
     /** Answers the next request at an endpoint, which must have this id. */
@@ -81,8 +81,8 @@
         try (ProxyHarness harness = harness(1).with("\"cancel\": true", "\"cancel\": " + cancel);
                 FullNode full = harness.new FullNode(0)) {
             harness.start();
-            try (Client leaves = harness.client()) {
-                leaves.send(request("order", "leaves"));
+            try (Client disconnecting = harness.client()) {
+                disconnecting.send(request("order", "leaves"));
                 awaitOpen(harness, 1);
             }
             awaitOpen(harness, 0);
@@ -108,16 +108,16 @@
                 full.add(harness.new FullNode(i));
             }
             harness.start();
-            List<Client> crowd = new ArrayList<>();
+            List<Client> clients = new ArrayList<>();
             for (int i = 0; i < 2 * many; i++) {
-                crowd.add(harness.client().send(request("order", "leaves-" + i)));
+                clients.add(harness.client().send(request("order", "leaves-" + i)));
             }
             awaitOpen(harness, 2 * many);
-            for (Client client : crowd) {
+            for (Client client : clients) {
                 client.close();
             }
             awaitOpen(harness, 0);
-            assertEquals(left(harness, "order"), 2 * many);
+            assertEquals(leftCount(harness, "order"), 2 * many);
             for (FullNode node : full) {
                 node.open();
             }
@@ -170,12 +170,12 @@
         try (ProxyHarness harness = harness(1);
                 FullNode full = harness.new FullNode(0)) {
             harness.start();
-            Client leaves = harness.client().send(requestWithMuchBehind("leaves", flows));
+            Client disconnecting = harness.client().send(requestWithMuchBehind("leaves", flows));
             awaitOpen(harness, 1);
             if (reset) {
-                leaves.resetOnClose();
+                disconnecting.resetOnClose();
             }
-            leaves.close();
+            disconnecting.close();
             awaitAttemptTooLate(System.nanoTime());
             full.open();
             full.awaitConnections(1);
@@ -232,8 +232,8 @@
         try (ProxyHarness harness =
                 harness(2).with("\"cancel\": true", "\"cancel\": " + cancel).start()) {
             Received first;
-            try (Client leaves = harness.client()) {
-                leaves.send(request("lookup", "leaves"));
+            try (Client disconnecting = harness.client()) {
+                disconnecting.send(request("lookup", "leaves"));
                 first = harness.nextRequest();
             }
             awaitOpen(harness, 0);
@@ -258,15 +258,15 @@
             Discovery discovery = new Discovery(harness);
             discovery.publish(list(7, harness.entries("terminating")));
             Await.until(
-                    "a draining endpoint", () -> figures(harness).integer("out_of_rotation") == 1);
-            try (Client leaves = harness.client()) {
-                leaves.send(request("order", "leaves"));
+                    "a draining endpoint", () -> metrics(harness).integer("out_of_rotation") == 1);
+            try (Client disconnecting = harness.client()) {
+                disconnecting.send(request("order", "leaves"));
                 awaitOpen(harness, 1);
             }
             awaitOpen(harness, 0);
-            assertEquals(left(harness, "order"), 1);
+            assertEquals(leftCount(harness, "order"), 1);
             discovery.publish(list(8, harness.entries("in_service")));
-            Await.until("an endpoint", () -> figures(harness).integer("out_of_rotation") == 0);
+            Await.until("an endpoint", () -> metrics(harness).integer("out_of_rotation") == 0);
             try (Client client = harness.client()) {
                 client.send(request("order", "stays"));
                 serve(harness, client, "stays");
@@ -380,10 +380,10 @@
         try (ProxyHarness harness =
                 harness(1).with("\"ramp-time-ns\": 10000000000", "\"ramp-time-ns\": 1").start()) {
             Discovery discovery = new Discovery(harness);
-            try (Client hangs = harness.client();
+            try (Client unanswered = harness.client();
                     Client client = harness.client()) {
                 long earlier = System.currentTimeMillis() - 1_000;
-                hangs.send(request("order", "hangs"));
+                unanswered.send(request("order", "hangs"));
                 harness.nextRequest();
                 client.send(request("order", "first"));
                 Socket first = serve(harness, client, "first").socket();
@@ -399,7 +399,7 @@
                                                         "\"started_ms\":" + started)
                                         + ",{\"id\":\"told\",\"addr\":\"127.0.0.1:9\","
                                         + "\"state\":\"terminating\"}"));
-                Await.until("the list", () -> figures(harness).integer("out_of_rotation") == 1);
+                Await.until("the list", () -> metrics(harness).integer("out_of_rotation") == 1);
                 client.send(request("order", "second"));
                 assertEquals(
                         serve(harness, client, "second").socket() != first,
@@ -454,7 +454,7 @@
                                 .replace("Deadline-Ms: 30000", "Deadline-Ms: 400"));
                 assertEquals(client.read().first(), REFUSED);
             }
-            assertEquals(figures(harness).integer("relayed"), 0);
+            assertEquals(metrics(harness).integer("relayed"), 0);
             assertEquals(full.awaitConnections(0).size(), 0, "no connection was established");
         }
     }
@@ -483,7 +483,7 @@
                                 entries[0].replace("in_service", "terminating")
                                         + ","
                                         + entries[1]));
-                Await.until("the list", () -> figures(harness).integer("out_of_rotation") == 1);
+                Await.until("the list", () -> metrics(harness).integer("out_of_rotation") == 1);
                 first.reply("500 Internal Server Error", "");
                 Await.until(
                         "the window is over",
--- a/daemon/src/test/java/cedarrudder/program/FootprintIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintIT.java
@@ -145,9 +145,9 @@
                     assertEquals(serve(harness, "id-" + i).body(), "done");
                 }
                 JsonObject page = JsonObject.parse(proxy.request("GET", "/-/metrics").body());
-                long held = page.integer("registry_entries");
-                assertTrue(held > 2_000 && held < nodes, "loaded " + held);
-                assertEquals(page.child("footprint").integer("waits"), nodes - held);
+                long loaded = page.integer("registry_entries");
+                assertTrue(loaded > 2_000 && loaded < nodes, "loaded " + loaded);
+                assertEquals(page.child("footprint").integer("waits"), nodes - loaded);
                 assertTrue(
                         ProxyHarness.await(harness.lookups).first().contains("since=0"),
                         "the waiting endpoints are requested");
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfGraphsTest.java
@@ -68,9 +68,9 @@
                     retained.load(text);
                     EndpointListShape list = shape(text, nodes);
                     String name = nodes + " nodes, " + zones + " zones, " + tenants + " tenants";
-                    List<Object> kept = new ArrayList<>(retained.roots());
-                    kept.add(retained.parsed.get(0)); // the buffer, which a watch retains
-                    long rest = RetainedEndpointList.graph(kept).totalSize() - none;
+                    List<Object> retainedAtRest = new ArrayList<>(retained.roots());
+                    retainedAtRest.add(retained.parsed.get(0)); // the buffer, which a watch retains
+                    long rest = RetainedEndpointList.graph(retainedAtRest).totalSize() - none;
                     wrong.append(compare(name + ", at rest", footprint.atRest(list), rest));
                     List<Object> all = new ArrayList<>(retained.roots());
                     all.addAll(retained.parsed);
@@ -81,7 +81,7 @@
                                     footprint.atPeak(EndpointListShape.NONE, list, nodes, nodes),
                                     peak));
                     retained.load(text);
-                    List<Object> again = new ArrayList<>(kept);
+                    List<Object> again = new ArrayList<>(retainedAtRest);
                     again.addAll(retained.parsed);
                     wrong.append(
                             compare(
--- a/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
+++ b/daemon/src/test/java/cedarrudder/program/FootprintOfProcessesIT.java
@@ -110,7 +110,7 @@
         return file;
     }
 
-    private static long pages(Process process) throws IOException {
+    private static long residentBytes(Process process) throws IOException {
         return Long.parseLong(
                         Files.readString(Path.of("/proc", Long.toString(process.pid()), "statm"))
                                 .split(" ")[1])
@@ -169,18 +169,17 @@
                 ProxyUnderTest proxy = start(harness, flags())) {
             AtomicBoolean resetting = resetLookups(harness);
             proxy.awaitLine("proxy.started");
-            live(proxy.process); // the first run, since the objects that jcmd itself leaves
-            // there don't count
+            // The first run creates the objects that jcmd itself leaves, so that they are not
+            // counted.
+            live(proxy.process);
             live(proxy.process);
             resetting.set(false);
             serveLists(harness, list(nodes, zones));
-            proxy.awaitFigure("registry_entries", nodes);
-            long resident = pages(proxy.process);
+            proxy.awaitMetric("registry_entries", nodes);
+            long resident = residentBytes(proxy.process);
             int descriptors = Integer.MAX_VALUE;
-            for (int i = 0;
-                    i < 10;
-                    i++) { // connections of this test to the operators' address may still be
-                // closing
+            // Connections of this test to the operators' address may still be closing.
+            for (int i = 0; i < 10; i++) {
                 descriptors =
                         Math.min(descriptors, proxy.descriptors() - 1); // except the one for jcmd
                 Thread.sleep(20);
@@ -208,7 +207,7 @@
             long before = minLive(proxy.process);
             resetting.set(false);
             serveLists(harness, list(nodes, zones));
-            proxy.awaitFigure("registry_entries", nodes);
+            proxy.awaitMetric("registry_entries", nodes);
             return minLive(proxy.process) - before;
         }
     }
@@ -230,11 +229,11 @@
                 - footprint.baseline().heap();
     }
 
-    private static String compare(String what, long estimate, long held) {
-        double off = estimate / (double) held - 1;
+    private static String compare(String what, long estimate, long used) {
+        double off = estimate / (double) used - 1;
         String line =
                 String.format(
-                        "%s: estimated %d, used %d, %+.1f %%", what, estimate, held, 100 * off);
+                        "%s: estimated %d, used %d, %+.1f %%", what, estimate, used, 100 * off);
         System.out.println(line);
         return off < -MAX_UNDER || off > MAX_OVER ? line + "\n" : "";
     }
@@ -310,7 +309,7 @@
                 String list = list(nodes, 12);
                 serveLists(harness, list, list, list, list(nodes - 1, 12));
                 long[] max = {0};
-                proxy.awaitFigure("registry_entries", nodes - 1);
+                proxy.awaitMetric("registry_entries", nodes - 1);
                 JsonObject reported =
                         JsonObject.parse(proxy.request("GET", "/-/metrics").body())
                                 .child("footprint")
@@ -353,7 +352,7 @@
                                                 .toString()))) {
             serveLists(harness, list(300, 3));
             proxy.awaitLine("proxy.started");
-            proxy.awaitFigure("registry_entries", 300);
+            proxy.awaitMetric("registry_entries", 300);
             Await.until(
                     "the use after the load", () -> Files.readString(history).contains("\"held\""));
         }
--- a/daemon/src/test/java/cedarrudder/program/GracefulShutdownTest.java
+++ b/daemon/src/test/java/cedarrudder/program/GracefulShutdownTest.java
@@ -87,9 +87,8 @@
             assertEquals(behind.read().body(), "first");
             harness.nextRequest().reply("200 OK", "second");
             assertEquals(behind.read().body(), "second");
-            Thread.sleep(
-                    1500); // the proxy does not wait for half a request as long as it takes to shut
-            // down
+            // The proxy does not wait for half a request as long as it takes to shut down.
+            Thread.sleep(1500);
             try (Client half = harness.client()) {
                 String request = ProxyHarness.request("lookup", "/api", "").replace("id-1", "half");
                 half.send(request.substring(0, request.length() - 2));
--- a/daemon/src/test/java/cedarrudder/program/LauncherIT.java
+++ b/daemon/src/test/java/cedarrudder/program/LauncherIT.java
@@ -28,7 +28,7 @@
 
     private Path root;
     private Path jar;
-    private Path calls;
+    private Path mavenCalls;
 
     private record Run(int exit, String out, String err) {}
 
@@ -58,8 +58,8 @@
             Files.createDirectories(root.resolve(folder));
         }
         jar = root.resolve("daemon/target/cedarrudder.jar");
-        calls = root.resolve("calls");
-        maven(0);
+        mavenCalls = root.resolve("calls");
+        installMavenStub(0);
         makeFresh();
     }
 
@@ -67,19 +67,20 @@
      * Installs a Maven stub that records its arguments, prints to standard output and touches the
      * jar.
      */
-    private void maven(int exit) throws IOException {
-        Path maven = root.resolve("bin/mvn");
+    private void installMavenStub(int exit) throws IOException {
+        Path installMavenStub = root.resolve("bin/mvn");
         Files.writeString(
-                maven,
+                installMavenStub,
                 "#!/bin/sh\necho \"$@\" >> \""
-                        + calls
+                        + mavenCalls
                         + "\"\necho noise\n"
                         + "touch \""
                         + jar
                         + "\"\nexit "
                         + exit
                         + "\n");
-        Files.setPosixFilePermissions(maven, PosixFilePermissions.fromString("rwx------"));
+        Files.setPosixFilePermissions(
+                installMavenStub, PosixFilePermissions.fromString("rwx------"));
     }
 
     private void makeFresh() throws IOException {
@@ -134,7 +135,7 @@
         }
         assertEquals(
                 run(root.resolve("deploy"), "check", "operator.toml").out, "operator.toml: good\n");
-        assertFalse(Files.exists(calls), "the launcher rebuilt an up-to-date jar");
+        assertFalse(Files.exists(mavenCalls), "the launcher rebuilt an up-to-date jar");
     }
 
     @Test
@@ -151,15 +152,16 @@
             }
             Files.setLastModifiedTime(sources.get(i), FileTime.fromMillis(60_000));
             assertTrue(run(root, "version").out.startsWith("cedarrudder "));
-            assertEquals(Files.readAllLines(calls).size(), i + 1, sources.get(i).toString());
+            assertEquals(Files.readAllLines(mavenCalls).size(), i + 1, sources.get(i).toString());
         }
         assertEquals(run(root, "version").err, "");
-        assertEquals(Files.readAllLines(calls).get(0), "-B -q -DskipTests -pl daemon -am package");
+        assertEquals(
+                Files.readAllLines(mavenCalls).get(0), "-B -q -DskipTests -pl daemon -am package");
     }
 
     @Test
     public void aFailedBuildExitsWithCodeOneAndRunsNothing() throws Exception {
-        maven(3);
+        installMavenStub(3);
         Files.delete(jar);
         assertEquals(
                 run(root, "adapter"), new Run(1, "", "noise\ncedarrudder: the build failed\n"));
--- a/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
+++ b/daemon/src/test/java/cedarrudder/program/OperationUnderLoadTest.java
@@ -28,12 +28,12 @@
     private static final long DRAIN_GRACE = 2_000_000_000L;
 
     private final AtomicInteger served = new AtomicInteger();
-    private final AtomicInteger refused = new AtomicInteger();
+    private final AtomicInteger rejected = new AtomicInteger();
     private final AtomicInteger failed = new AtomicInteger();
-    private final AtomicInteger left = new AtomicInteger();
+    private final AtomicInteger disconnected = new AtomicInteger();
 
     private void reset() {
-        for (AtomicInteger count : List.of(served, refused, failed, left)) {
+        for (AtomicInteger count : List.of(served, rejected, failed, disconnected)) {
             count.set(0);
         }
     }
@@ -51,13 +51,13 @@
             if (i % 10 == 9) {
                 open.close();
                 open = null;
-                left.incrementAndGet();
+                disconnected.incrementAndGet();
                 continue;
             }
             Received answer = open.read();
             (answer.first().contains(" 200 ")
                             ? served
-                            : answer.first().contains(" 503 ") ? refused : failed)
+                            : answer.first().contains(" 503 ") ? rejected : failed)
                     .incrementAndGet();
         }
         if (open != null) {
@@ -116,16 +116,16 @@
             // A request whose client disconnected may count as any outcome: it may have been
             // answered already.
             long spare =
-                    CLIENTS * REQUESTS_PER_CLIENT - served.get() - refused.get() - failed.get();
-            assertEquals(spare, left.get());
+                    CLIENTS * REQUESTS_PER_CLIENT - served.get() - rejected.get() - failed.get();
+            assertEquals(spare, disconnected.get());
             long counted = 0;
             String[] names = {"fulfilled", "throttled", "faulted"};
-            int[] observed = {served.get(), refused.get(), failed.get()};
+            int[] observed = {served.get(), rejected.get(), failed.get()};
             for (int i = 0; i < names.length; i++) {
                 long reported = orders.integer(names[i]);
                 counted += reported;
                 assertTrue(
-                        reported >= observed[i] && reported <= observed[i] + left.get(),
+                        reported >= observed[i] && reported <= observed[i] + disconnected.get(),
                         names[i] + ": reported " + reported + ", observed " + observed[i]);
             }
             assertTrue(counted + orders.integer("left") <= CLIENTS * REQUESTS_PER_CLIENT);
--- a/daemon/src/test/java/cedarrudder/program/ProxyHarness.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyHarness.java
@@ -187,15 +187,15 @@
      */
     final class FullNode implements Closeable {
         private static final int FULL_MILLIS = 500;
-        private final int node;
+        private final int endpoint;
         private final ServerSocket server;
         private final List<Socket> before = new ArrayList<>();
 
         /** Closes an endpoint and listens on its port instead. */
-        FullNode(int node) throws IOException {
-            this.node = node;
-            nodes.get(node).close();
-            int port = nodes.get(node).server.getLocalPort();
+        FullNode(int endpoint) throws IOException {
+            this.endpoint = endpoint;
+            nodes.get(endpoint).close();
+            int port = nodes.get(endpoint).server.getLocalPort();
             server = listen(port, 1);
             while (fillQueue(port)) {
                 // until its queue is full
@@ -217,7 +217,7 @@
 
         /** Accepts connections from now on and serves them like any endpoint. */
         void open() {
-            nodes.set(node, new Peer(requests, server));
+            nodes.set(endpoint, new Peer(requests, server));
         }
 
         /**
@@ -450,8 +450,8 @@
     }
 
     /** Restarts a closed endpoint on its former port. */
-    void restart(int node) throws IOException {
-        nodes.set(node, new Peer(requests, nodes.get(node).server.getLocalPort()));
+    void restart(int endpoint) throws IOException {
+        nodes.set(endpoint, new Peer(requests, nodes.get(endpoint).server.getLocalPort()));
     }
 
     Client client() throws IOException {
@@ -514,8 +514,8 @@
     }
 
     /** Waits until the log contains this text. */
-    void awaitLog(String part) throws Exception {
-        Await.until(part + " in the log", () -> log.toString().contains(part));
+    void awaitLog(String text) throws Exception {
+        Await.until(text + " in the log", () -> log.toString().contains(text));
     }
 
     @Override
--- a/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyServerScenarioTest.java
@@ -29,8 +29,8 @@
             assertEquals(request.body(), "{\"a\":1}");
             assertEquals(request.field("Req-Id"), "id-1");
             assertEquals(request.field("Idempotency-Key"), "k1");
-            long left = Long.parseLong(request.field("Req-Deadline-Ms"));
-            assertTrue(left > 0 && left < 30_000, "left " + left);
+            long remaining = Long.parseLong(request.field("Req-Deadline-Ms"));
+            assertTrue(remaining > 0 && remaining < 30_000, "left " + remaining);
             request.reply("200 OK", "done", "Content-Type: application/json");
             Received answer = client.read();
             assertEquals(answer.first(), "HTTP/1.1 200 OK");
--- a/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyUnderTest.java
@@ -47,11 +47,11 @@
     ProxyUnderTest(
             ProxyHarness harness,
             Path state,
-            String before,
+            String shellPrefix,
             List<String> machine,
             List<String> options)
             throws IOException {
-        this(harness, state, before, machine, List.of("-jar", JAR), options);
+        this(harness, state, shellPrefix, machine, List.of("-jar", JAR), options);
     }
 
     /**
@@ -60,7 +60,7 @@
     ProxyUnderTest(
             ProxyHarness harness,
             Path state,
-            String before,
+            String shellPrefix,
             List<String> machine,
             List<String> program,
             List<String> options)
@@ -75,7 +75,7 @@
                         List.of(
                                 "/bin/sh",
                                 "-c",
-                                before + " exec env " + DEFAULT_SIGNALS + " \"$0\" \"$@\"",
+                                shellPrefix + " exec env " + DEFAULT_SIGNALS + " \"$0\" \"$@\"",
                                 Path.of(System.getProperty("java.home"), "bin", "java")
                                         .toString()));
         command.addAll(machine);
@@ -130,7 +130,7 @@
         return Integer.parseInt(request(method, path).first().split(" ")[1]);
     }
 
-    long figure(String name) throws IOException {
+    long metric(String name) throws IOException {
         return JsonObject.parse(request("GET", "/-/metrics").body()).integer(name);
     }
 
@@ -138,7 +138,7 @@
      * Waits until a metric has this value. Where memory runs out, a request may end without an
      * answer.
      */
-    void awaitFigure(String name, long value) throws Exception {
+    void awaitMetric(String name, long value) throws Exception {
         Await.until(
                 name + " at " + value,
                 () -> {
--- a/daemon/src/test/java/cedarrudder/program/ServeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ServeIT.java
@@ -144,13 +144,13 @@
             Files.writeString(
                     operator, "[callers]\nbody_bytes = 300\nidle = 1\n[log]\nformat = \"xml\"\n");
             ProxyUnderTest.signal(process, "HUP");
-            JsonObject kept =
+            JsonObject rejected =
                     event(
                             awaitLine(process, lines, "operator_file.rejected"),
                             "operator_file.rejected");
-            assertEquals(kept.integer("problems"), 2);
+            assertEquals(rejected.integer("problems"), 2);
             assertTrue(
-                    kept.text("first", null)
+                    rejected.text("first", null)
                             .contains(".toml:3: callers.idle: found an unknown key"));
             assertEquals(answer(harness, "four"), "HTTP/1.1 413 Content Too Large");
             Files.writeString(operator, "[callers]\nbody_bytes = 300\n");
@@ -179,23 +179,21 @@
      */
     private static String answer(ProxyHarness harness, String body) throws Exception {
         try (Client client = harness.client()) {
-            Thread node =
+            Thread endpoint =
                     new Thread(
                             () -> {
                                 try {
                                     harness.nextRequest().reply("200 OK", "done");
                                 } catch (InterruptedException | IOException e) {
-                                    Thread.currentThread()
-                                            .interrupt(); // the request was rejected before it
-                                    // reached the endpoint
-                                    // here
+                                    // the request was rejected before it reached the endpoint
+                                    Thread.currentThread().interrupt();
                                 }
                             });
-            node.start();
+            endpoint.start();
             client.send(ProxyHarness.request("order", "/api", body));
             String first = client.read().first();
-            node.interrupt();
-            Await.end("the end of the endpoint's thread", node);
+            endpoint.interrupt();
+            Await.end("the end of the endpoint's thread", endpoint);
             return first;
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/ShortageIT.java
+++ b/daemon/src/test/java/cedarrudder/program/ShortageIT.java
@@ -125,17 +125,17 @@
                         ProxyHarness.request("order", "/api", "x").replace("id-1", "crowd-" + i));
             }
             int served = 0;
-            int refused = 0;
+            int rejected = 0;
             for (int i = 0; i < 20; i++) {
                 Received answer = crowd.get(i).read();
                 served += answer.first().contains(" 200 ") ? 1 : 0;
-                refused += answer.first().contains(" 503 ") ? 1 : 0;
+                rejected += answer.first().contains(" 503 ") ? 1 : 0;
             }
-            assertEquals(served + refused, 20, "each accepted request has exactly one answer");
+            assertEquals(served + rejected, 20, "each accepted request has exactly one answer");
             for (Client client : crowd) {
                 client.close();
             }
-            proxy.awaitFigure("open_requests", 0);
+            proxy.awaitMetric("open_requests", 0);
             for (int i = 0; i < 200; i++) {
                 serveOne(harness, "after-" + i);
             }
@@ -155,8 +155,8 @@
 
     /**
      * Where direct memory runs out the proxy must not end, send half a body as a complete one, or
-     * block the event loop: the virtual machine reports the shortage by another error than the
-     * library, half a second late.
+     * block the event loop: the class library reports the shortage by another error, half a second
+     * late.
      */
     @Test
     public void withoutDirectMemorySomeAnswersAreCutOffAndLaterOnesAreServed() throws Exception {
@@ -197,8 +197,8 @@
                 }
             }
             assertTrue(whole > 0, "no answer was complete");
-            proxy.awaitFigure("open_requests", 0);
-            proxy.awaitFigure("held_bytes", 0);
+            proxy.awaitMetric("open_requests", 0);
+            proxy.awaitMetric("held_bytes", 0);
             try (Client client = harness.client()) {
                 client.send(ProxyHarness.request("lookup", "/api", "").replace("id-1", "after"));
                 assertEquals(client.readHead().first(), "HTTP/1.1 200 OK");
@@ -266,8 +266,8 @@
                 for (Client client : unread) {
                     client.close();
                 }
-                proxy.awaitFigure("open_requests", 0);
-                proxy.awaitFigure("held_bytes", 0);
+                proxy.awaitMetric("open_requests", 0);
+                proxy.awaitMetric("held_bytes", 0);
                 causeLogLines(harness, 1);
                 proxy.awaitLine(
                         "client.rejected"); // all errors of this kind are logged before this line
@@ -301,7 +301,7 @@
             assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 503);
             assertEquals(proxy.status("POST", "/-/drain"), 503);
             serveOne(harness, "served");
-            assertEquals(proxy.figure("out_of_rotation"), 0);
+            assertEquals(proxy.metric("out_of_rotation"), 0);
         }
     }
 
@@ -321,18 +321,18 @@
                 // In one step: if the files were removed one by one, the check that restores them
                 // could run in between.
                 try (Stream<Path> all = Files.list(state)) {
-                    for (Path kept : all.toList()) {
-                        Files.move(kept, folder().resolve("cleared"));
+                    for (Path file : all.toList()) {
+                        Files.move(file, folder().resolve("cleared"));
                     }
                 }
                 first.awaitLine("state.restored");
                 second.awaitLine("state.restored");
-                assertEquals(first.figure("out_of_rotation"), 1);
+                assertEquals(first.metric("out_of_rotation"), 1);
                 second.awaitReady();
-                second.awaitFigure("out_of_rotation", 1);
+                second.awaitMetric("out_of_rotation", 1);
                 // The processes still share their state: a request to one applies to both.
                 assertEquals(second.status("POST", "/-/nodes/n0/enable"), 200);
-                first.awaitFigure("out_of_rotation", 0);
+                first.awaitMetric("out_of_rotation", 0);
             }
         }
     }
@@ -366,7 +366,7 @@
                     }
                     first.signal("CONT");
                     next.awaitReady();
-                    next.awaitFigure("out_of_rotation", 1);
+                    next.awaitMetric("out_of_rotation", 1);
                     first.awaitLine("successor=true ready=true");
                     if (whole) {
                         first.signal("TERM");
@@ -507,7 +507,7 @@
                 assertTrue(first.contains(" 502 ") || first.contains(" 503 "), first);
                 client.close();
             }
-            proxy.awaitFigure("open_requests", 0);
+            proxy.awaitMetric("open_requests", 0);
             for (int i = 0; proxy.descriptors() > before + 4; i++) {
                 assertTrue(
                         i < 20_000, "descriptors: " + before + " before, " + proxy.descriptors());
--- a/daemon/src/test/java/cedarrudder/program/SoakIT.java
+++ b/daemon/src/test/java/cedarrudder/program/SoakIT.java
@@ -37,7 +37,7 @@
 
     private static final int MAX_HANGUPS = 8;
     private static final int MAX_SERVICE_MILLIS = 40;
-    private static final int CROWD = 300;
+    private static final int IDLE_CLIENTS = 300;
     private static final int SERVED_BEFORE = 100;
 
     /**
@@ -54,7 +54,7 @@
 
     private static List<String> restart(long seed) throws Exception {
         Random random = new Random(seed);
-        List<Client> crowd = new ArrayList<>();
+        List<Client> idleClients = new ArrayList<>();
         Map<String, Integer> runs = new ConcurrentHashMap<>();
         try (ProxyHarness harness = new ProxyHarness(3);
                 ProxyUnderTest proxy =
@@ -69,8 +69,8 @@
                     });
             TestEndpoints.serveFullList(harness);
             proxy.awaitReady();
-            for (int i = random.nextInt(3) == 0 ? CROWD : 0; i > 0; i--) {
-                crowd.add(harness.client());
+            for (int i = random.nextInt(3) == 0 ? IDLE_CLIENTS : 0; i > 0; i--) {
+                idleClients.add(harness.client());
             }
             PersistentClients clients = new PersistentClients(harness, random);
             start(clients, "old-", 8 + random.nextInt(24), 0);
@@ -94,7 +94,7 @@
             }
             return problems;
         } finally {
-            for (Client client : crowd) {
+            for (Client client : idleClients) {
                 client.close();
             }
         }
--- a/daemon/src/test/java/cedarrudder/program/StopIT.java
+++ b/daemon/src/test/java/cedarrudder/program/StopIT.java
@@ -147,7 +147,7 @@
         try (ProxyHarness harness = new ProxyHarness(2)) {
             try (ProxyUnderTest proxy = new ProxyUnderTest(harness, state)) {
                 proxy.awaitLine("proxy.started");
-                try (Client taken = harness.client();
+                try (Client accepted = harness.client();
                         Client half = harness.client();
                         Client large = harness.client()) {
                     assertEquals(proxy.status("POST", "/-/nodes/n0/disable"), 200);
@@ -161,13 +161,13 @@
                                             + "x".repeat(100_000));
                     assertEquals(large.readHead().first(), "HTTP/1.1 200 OK");
                     half.send("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\n");
-                    taken.send(
+                    accepted.send(
                             ProxyHarness.request("order", "/stays-for-test", "x")
                                     .replace("id-1", "taken"));
                     Received running = harness.nextRequest();
                     proxy.kill();
                     running.awaitEnd();
-                    assertBreak(taken);
+                    assertBreak(accepted);
                     assertBreak(half);
                     assertBreak(large);
                 }
@@ -188,7 +188,7 @@
     private static void assertStateRestored(ProxyHarness harness, Path state) throws Exception {
         try (ProxyUnderTest again = new ProxyUnderTest(harness, state)) {
             again.awaitLine("proxy.started");
-            assertEquals(again.figure("out_of_rotation"), 1, "the endpoint is still disabled");
+            assertEquals(again.metric("out_of_rotation"), 1, "the endpoint is still disabled");
             try (Client health = harness.client()) {
                 health.send("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertTrue(health.read().first().contains(" 503 "), "the proxy is still drained");
@@ -199,8 +199,8 @@
                 serveOne(harness, "after-" + i);
             }
             assertEquals(again.status("POST", "/-/nodes/n0/enable"), 200);
-            again.awaitFigure("out_of_rotation", 0);
-            assertEquals(again.figure("open_requests"), 0);
+            again.awaitMetric("out_of_rotation", 0);
+            assertEquals(again.metric("open_requests"), 0);
         }
     }
 
@@ -215,14 +215,14 @@
             assertEquals(old.status("POST", "/-/nodes/n0/disable"), 200);
             // The new process is ready and is killed: the old one takes over its part again, and n0
             // is enabled, as the new process was asked.
-            try (ProxyUnderTest dies = new ProxyUnderTest(harness, state)) {
-                dies.awaitLine("proxy.started");
-                assertEquals(dies.figure("out_of_rotation"), 1);
-                assertEquals(dies.status("POST", "/-/nodes/n0/enable"), 200);
-                dies.kill();
+            try (ProxyUnderTest killed = new ProxyUnderTest(harness, state)) {
+                killed.awaitLine("proxy.started");
+                assertEquals(killed.metric("out_of_rotation"), 1);
+                assertEquals(killed.status("POST", "/-/nodes/n0/enable"), 200);
+                killed.kill();
             }
             old.awaitLine("successor=false");
-            old.awaitFigure("out_of_rotation", 0);
+            old.awaitMetric("out_of_rotation", 0);
             serveOne(harness, "old");
             // The old process is killed during the handover: the new one continues alone.
             try (ProxyUnderTest next = new ProxyUnderTest(harness, state)) {
@@ -241,7 +241,7 @@
             }
             try (ProxyUnderTest last = new ProxyUnderTest(harness, state)) {
                 last.awaitLine("proxy.started");
-                assertEquals(last.figure("out_of_rotation"), 1);
+                assertEquals(last.metric("out_of_rotation"), 1);
             }
         }
     }
--- a/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
+++ b/daemon/src/test/java/cedarrudder/program/UpgradeIT.java
@@ -125,12 +125,12 @@
                 second.awaitLine("proxy.started");
                 load.awaitMore(50);
                 assertEquals(second.status("GET", "/-/ready"), 200);
-                assertEquals(second.figure("out_of_rotation"), 1);
+                assertEquals(second.metric("out_of_rotation"), 1);
                 // A request to either process applies to both.
                 assertEquals(second.status("POST", "/-/nodes/n1/disable"), 200);
-                first.awaitFigure("out_of_rotation", 2);
+                first.awaitMetric("out_of_rotation", 2);
                 assertEquals(first.status("POST", "/-/nodes/n1/enable"), 200);
-                second.awaitFigure("out_of_rotation", 1);
+                second.awaitMetric("out_of_rotation", 1);
                 first.signal("TERM");
                 first.awaitLine("proxy.replaced");
                 first.awaitEnd(ProxyUnderTest.TERMINATED);
