--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -20,8 +20,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Programs that lack one rule each: the judge finds it, or a measure shows it. Seeds are fixed: the
- * verdict is the same.
+ * Variants of the consensus algorithm that each lack one safety rule: an invariant check or a
+ * measurement has to show the fault. Seeds are fixed, so the results are reproducible.
  */
 public class BrokenConsensusTest {
 
@@ -36,8 +36,11 @@
                         zones, self, incarnation, settings, store, random, outlet, now, conduct);
     }
 
-    /** The rules that seeds break, up to the first seed that breaks one of these. */
-    private static Set<String> broken(SafetyRules conduct, int seeds, String... wanted) {
+    /**
+     * Returns the invariants that the seeds violate, up to the first seed that violates one of
+     * those in {@code wanted}.
+     */
+    private static Set<String> violatedRules(SafetyRules conduct, int seeds, String... wanted) {
         Set<String> rules = new HashSet<>();
         for (long seed = 1; seed <= seeds && Collections.disjoint(rules, List.of(wanted)); seed++) {
             FaultStorm.play(seed, with(conduct))
@@ -48,9 +51,9 @@
     }
 
     @Test
-    public void oneThatForgotVotesUnderItsNewLife() {
+    public void withoutTheVoteRuleARestartedVoterBreaksSafety() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
                             boolean mayVote(boolean sworn, boolean seated) {
@@ -62,11 +65,14 @@
         assertTrue(rules.contains("A2"), rules.toString());
     }
 
-    /** What is handed on again, since the leader's answer was lost, would count twice. */
+    /**
+     * A proposal that is forwarded again, since the answer of the leader was lost, would take
+     * effect twice.
+     */
     @Test
-    public void aProposalHandedOnTwiceTakesEffectTwice() {
+    public void withoutDeduplicationAProposalForwardedTwiceTakesEffectTwice() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
                             boolean mayTakeEffect(boolean isNew) {
@@ -79,12 +85,13 @@
     }
 
     /**
-     * What lay unread for as long as a replica stood still would make a contact as much younger.
+     * Datagrams that wait while a replica is paused would make a leader contact seem younger, by as
+     * long as they waited.
      */
     @Test
-    public void aContactThatCountsFromItsArrivalIsTooYoung() {
+    public void aLeaderContactCountedFromArrivalIsTooYoung() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
                             long contactCountsFrom(long askedAt, long answeredAt) {
@@ -96,12 +103,15 @@
         assertTrue(rules.contains("contact"), rules.toString());
     }
 
-    /** Clocks that differ by 2 in 1,000, and a contact that stays the last for 40 minutes. */
+    /**
+     * Clock rates differ by 2 in 1,000, and the same leader contact stays the last one for 40
+     * minutes.
+     */
     @Test
-    public void withoutTheDriftAContactThatIsHandedOnIsTooYoung() {
-        assertEquals(handedOnForMinutes(new SafetyRules()), Set.of());
+    public void withoutTheDriftAllowanceARelayedLeaderContactIsTooYoung() {
+        assertEquals(violationsWhenAContactIsRelayedForMinutes(new SafetyRules()), Set.of());
         assertEquals(
-                handedOnForMinutes(
+                violationsWhenAContactIsRelayedForMinutes(
                         new SafetyRules() {
                             @Override
                             long withClockDrift(long nanos) {
@@ -111,7 +121,7 @@
                 Set.of("contact"));
     }
 
-    private static Set<String> handedOnForMinutes(SafetyRules conduct) {
+    private static Set<String> violationsWhenAContactIsRelayedForMinutes(SafetyRules conduct) {
         List<HistoryEvent> events = new ArrayList<>();
         ConsensusSimulation simulation = started(10, false, conduct, events);
         for (Voter voter : simulation.view(simulation.leader()).voters().all()) {
@@ -126,17 +136,18 @@
             }
             simulation.play(600 * SECOND);
         }
-        return judged(simulation, events);
+        return violations(simulation, events);
     }
 
     /**
-     * One datagram with a peer's address that names a higher group, or a later life of that peer.
+     * A forged datagram with a peer's address that names a higher group or a later incarnation of
+     * that peer.
      */
     @Test
-    public void aForgedDatagramMovesNobody() {
-        assertTrue(staysAfterForgeries(new SafetyRules()));
+    public void aForgedDatagramChangesNoGroupAndNoIncarnation() {
+        assertTrue(commitsInTheSameGroupAfterForgeries(new SafetyRules()));
         assertTrue(
-                !staysAfterForgeries(
+                !commitsInTheSameGroupAfterForgeries(
                         new SafetyRules() {
                             @Override
                             boolean acceptsHigherGroupOrIncarnation(boolean answered) {
@@ -145,7 +156,7 @@
                         }));
     }
 
-    private static boolean staysAfterForgeries(SafetyRules conduct) {
+    private static boolean commitsInTheSameGroupAfterForgeries(SafetyRules conduct) {
         ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
         VoterGroup group = simulation.view(0).group();
         long incarnation = simulation.view(1).incarnation();
@@ -181,11 +192,11 @@
     }
 
     /**
-     * The plain paper without a disk: the replica says that it is who it was, and remembers no vote
-     * and no entry.
+     * Raft as in the paper, but without a disk: the replica claims its former incarnation, and has
+     * lost its vote and its entries.
      */
     @Test
-    public void oneThatForgotVotesAsIfItRemembered() {
+    public void aVoterThatLostItsStateButClaimsItsOldIncarnationBreaksSafety() {
         List<HistoryEvent> events = new ArrayList<>();
         ConsensusSimulation simulation = started(5, false, new SafetyRules(), events);
         int leader = simulation.leader();
@@ -196,13 +207,13 @@
         for (Voter voter : voters.all()) {
             simulation.kill(voter.replica());
             simulation.pretend(
-                    voter.replica(), voter.incarnation(), pretending(group, voter, voters));
+                    voter.replica(), voter.incarnation(), storageClaiming(group, voter, voters));
         }
         simulation.play(5 * SECOND);
-        assertTrue(judged(simulation, events).contains("A2"), events.toString());
+        assertTrue(violations(simulation, events).contains("A2"), events.toString());
     }
 
-    static StableStorage pretending(VoterGroup group, Voter voter, VoterSet voters) {
+    static StableStorage storageClaiming(VoterGroup group, Voter voter, VoterSet voters) {
         return new StableStorage() {
             @Override
             public Recovered recovered() {
@@ -230,9 +241,9 @@
     }
 
     @Test
-    public void piecesOfDifferentMessagesMix() {
+    public void withoutTheFragmentChecksFragmentsOfDifferentMessagesMix() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
                             boolean isSameMessage(MessageFragment held, MessageFragment other) {
@@ -250,9 +261,9 @@
     }
 
     @Test
-    public void aNewGroupUsesNumbersAgain() {
+    public void withoutUniqueGroupsANewGroupBreaksSafety() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
                             VoterGroup nextGroup(VoterGroup known, Voter founder) {
@@ -266,14 +277,14 @@
     }
 
     /**
-     * Figure 8 of the paper: an entry of an earlier term, counted on a majority, is overwritten
-     * after all.
+     * Figure 8 of the Raft paper: an entry of an earlier term that is stored on a majority is
+     * overwritten later.
      */
     @Test
-    public void anEntryOfAnEarlierTermIsCommittedByCounting() {
-        assertEquals(figureEight(new SafetyRules()), Set.of());
+    public void committingAnEntryOfAnEarlierTermByCountingBreaksSafety() {
+        assertEquals(violationsInFigureEight(new SafetyRules()), Set.of());
         Set<String> rules =
-                figureEight(
+                violationsInFigureEight(
                         new SafetyRules() {
                             @Override
                             boolean mayCommitByCounting(long entryTerm, long term) {
@@ -283,13 +294,13 @@
         assertTrue(rules.contains("A1"), rules.toString());
     }
 
-    private static Set<String> figureEight(SafetyRules conduct) {
+    private static Set<String> violationsInFigureEight(SafetyRules conduct) {
         List<HistoryEvent> events = new ArrayList<>();
         ConsensusSimulation simulation = started(5, true, conduct, events);
         int first = simulation.leader();
         int second = (first + 1) % 5;
-        apart(simulation, first, second);
-        // As large as a batch: the entry after it goes in another message.
+        isolate(simulation, first, second);
+        // As large as a batch, so that the entry after it is sent in another message.
         assertNotNull(simulation.propose(first, new byte[LogReplication.MAX_BATCH_BYTES]));
         simulation.play(700 * MILLI);
         simulation.kill(first);
@@ -300,9 +311,9 @@
             simulation.play(MILLI);
         }
         int third = simulation.leader();
-        apart(simulation, third, third);
+        isolate(simulation, third, third);
         simulation.kill(third);
-        // What it sent is lost with the links.
+        // The datagrams in flight from it are lost, since its links are cut.
         simulation.play(30 * MILLI);
         simulation.heal();
         simulation.restart(first);
@@ -311,14 +322,14 @@
         while (simulation.leadsSince() < before) {
             simulation.play(MILLI);
         }
-        int leads = simulation.leader();
-        long loaded = simulation.view(leads).appliedPosition().index();
+        int newLeader = simulation.leader();
+        long appliedIndex = simulation.view(newLeader).appliedPosition().index();
         for (int i = 0;
-                i < 1_000 && simulation.view(leads).appliedPosition().index() == loaded;
+                i < 1_000 && simulation.view(newLeader).appliedPosition().index() == appliedIndex;
                 i++) {
             simulation.play(MILLI);
         }
-        apart(simulation, first, second);
+        isolate(simulation, first, second);
         simulation.restart(third);
         simulation.play(8 * SECOND);
         if (simulation.leader() >= 0) {
@@ -329,11 +340,11 @@
         simulation.play(8 * SECOND);
         simulation.propose(simulation.leader(), new byte[10]);
         simulation.play(4 * SECOND);
-        return judged(simulation, events);
+        return violations(simulation, events);
     }
 
-    /** Nothing passes between these two and the others. */
-    private static void apart(ConsensusSimulation simulation, int one, int other) {
+    /** Cuts all links between these two replicas and the others. */
+    private static void isolate(ConsensusSimulation simulation, int one, int other) {
         for (int i = 0; i < simulation.size(); i++) {
             for (int inside : new int[] {one, other}) {
                 if (i != one && i != other) {
@@ -344,12 +355,15 @@
         }
     }
 
-    /** Terms that pass while one voter is cut off for 3 s each 6 s; each deposes a leader. */
+    /**
+     * Counts the terms while one voter is cut off for 3 s in every 6 s; each new term deposes a
+     * leader.
+     */
     @Test
-    public void withoutAskingAheadACutOffVoterDisturbs() {
-        long with = termsOfACutOffVoter(new SafetyRules());
+    public void withoutPreVoteAVoterThatIsCutOffDeposesLeaders() {
+        long with = termsWhileAVoterIsCutOffRepeatedly(new SafetyRules());
         long without =
-                termsOfACutOffVoter(
+                termsWhileAVoterIsCutOffRepeatedly(
                         new SafetyRules() {
                             @Override
                             boolean requiresPreVote() {
@@ -360,12 +374,12 @@
         assertTrue(without >= 10, "terms " + without);
     }
 
-    private static long termsOfACutOffVoter(SafetyRules conduct) {
+    private static long termsWhileAVoterIsCutOffRepeatedly(SafetyRules conduct) {
         ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
         long term = simulation.view(simulation.leader()).term();
         for (int round = 0; round < 5; round++) {
             int voter = (simulation.leader() + 1) % 5;
-            apart(simulation, voter, voter);
+            isolate(simulation, voter, voter);
             simulation.play(3 * SECOND);
             simulation.heal();
             simulation.play(3 * SECOND);
@@ -373,12 +387,15 @@
         return simulation.view(simulation.leader()).term() - term;
     }
 
-    /** A leader that speaks and hears nobody: it has to go, or nothing is ever committed. */
+    /**
+     * A leader whose datagrams arrive but that receives none has to step down, or nothing is ever
+     * committed.
+     */
     @Test
-    public void withoutStepDownADeafLeaderStopsAll() {
-        assertTrue(commitsPastADeafLeader(new SafetyRules()));
+    public void withoutStepDownALeaderThatReceivesNothingBlocksCommits() {
+        assertTrue(commitsAfterTheLeaderReceivesNothing(new SafetyRules()));
         assertTrue(
-                !commitsPastADeafLeader(
+                !commitsAfterTheLeaderReceivesNothing(
                         new SafetyRules() {
                             @Override
                             boolean hasLostQuorum(long sinceMajority, long max) {
@@ -387,15 +404,15 @@
                         }));
     }
 
-    private static boolean commitsPastADeafLeader(SafetyRules conduct) {
+    private static boolean commitsAfterTheLeaderReceivesNothing(SafetyRules conduct) {
         ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
-        int deaf = simulation.leader();
-        IntStream.range(0, 5).forEach(i -> simulation.cut(i, deaf, i != deaf));
+        int isolatedLeader = simulation.leader();
+        IntStream.range(0, 5).forEach(i -> simulation.cut(i, isolatedLeader, i != isolatedLeader));
         simulation.play(4 * SECOND);
         LogPosition number = simulation.propose(simulation.leader(), new byte[8]);
         simulation.play(4 * SECOND);
         return IntStream.range(0, 5)
-                .filter(i -> i != deaf)
+                .filter(i -> i != isolatedLeader)
                 .allMatch(i -> simulation.view(i).appliedPosition().compareTo(number) >= 0);
     }
 
@@ -417,7 +434,8 @@
         return simulation;
     }
 
-    private static Set<String> judged(ConsensusSimulation simulation, List<HistoryEvent> events) {
+    private static Set<String> violations(
+            ConsensusSimulation simulation, List<HistoryEvent> events) {
         Set<String> rules = new HashSet<>();
         History.judged(
                         events,
--- a/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/HardCasesTest.java
@@ -19,8 +19,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What replicas must come through, each made to happen. Their clocks differ by up to an hour and
- * drift by up to 1 in 1,000, as in all of the model.
+ * Failure scenarios that replicas have to survive, each of them provoked. Clocks differ by up to an
+ * hour and drift by up to 1 in 1,000, as everywhere in the simulation.
  */
 public class HardCasesTest {
 
@@ -42,7 +42,7 @@
         return simulation;
     }
 
-    private Set<String> judged(ConsensusSimulation simulation) {
+    private Set<String> violations(ConsensusSimulation simulation) {
         Set<String> rules = new HashSet<>();
         History.judged(
                         events,
@@ -56,8 +56,8 @@
         return rules;
     }
 
-    /** Nothing passes between those that are in and those that are not. */
-    private static void part(ConsensusSimulation simulation, Set<Integer> in) {
+    /** Cuts all links between the replicas in {@code in} and all others. */
+    private static void partition(ConsensusSimulation simulation, Set<Integer> in) {
         for (int i = 0; i < simulation.size(); i++) {
             for (int j = 0; j < simulation.size(); j++) {
                 simulation.cut(i, j, in.contains(i) != in.contains(j));
@@ -67,12 +67,12 @@
     }
 
     /**
-     * Each half holds the other to be dead, for ten minutes. One half has most voters and goes on;
-     * the other commits nothing, forms no group, and knows that its last contact is as old as the
-     * cut.
+     * Two regions consider each other dead for ten minutes. The one with the majority of the voters
+     * continues; the other commits nothing, forms no group, and its last leader contact is as old
+     * as the partition.
      */
     @Test
-    public void twoRegionsThatEachSeeTheOtherAsLost() {
+    public void onlyTheRegionWithAMajorityOfVotersCommitsDuringAPartition() {
         ConsensusSimulation simulation =
                 started(12, ConsensusSettings.DEFAULT.withFormationTimeout(6 * SECOND));
         VoterGroup group = simulation.view(0).group();
@@ -80,17 +80,18 @@
                 simulation.view(simulation.leader()).voters().all().stream()
                         .map(Voter::replica)
                         .toList();
-        Set<Integer> max = new HashSet<>(voters.subList(0, 3));
-        IntStream.range(0, 12).filter(i -> !voters.contains(i)).limit(3).forEach(max::add);
-        part(simulation, max);
+        Set<Integer> majority = new HashSet<>(voters.subList(0, 3));
+        IntStream.range(0, 12).filter(i -> !voters.contains(i)).limit(3).forEach(majority::add);
+        partition(simulation, majority);
         long cutAt = simulation.now();
         simulation.play(600 * SECOND);
-        assertTrue(max.contains(simulation.leader()));
+        assertTrue(majority.contains(simulation.leader()));
         for (int i = 0; i < 12; i++) {
             assertEquals(simulation.view(i).group(), group);
-            assertEquals(simulation.contactAge(i) < 5 * SECOND, max.contains(i), "copy " + i);
+            assertEquals(
+                    simulation.contactAge(i) < 5 * SECOND, majority.contains(i), "replica " + i);
             assertTrue(
-                    max.contains(i)
+                    majority.contains(i)
                             || simulation.contactAge(i) > (simulation.now() - cutAt) * 0.998);
             assertNotNull(simulation.forwardProposal(i, new byte[] {(byte) i}, 5 * SECOND));
         }
@@ -98,66 +99,68 @@
         for (int i = 0; i < 12; i++) {
             assertEquals(
                     simulation.settled(i).get(0).outcome() == ProposalOutcome.COMMITTED,
-                    max.contains(i));
+                    majority.contains(i));
         }
         simulation.heal();
         simulation.play(10 * SECOND);
         assertTrue(simulation.agree());
-        assertEquals(judged(simulation), Set.of());
+        assertEquals(violations(simulation), Set.of());
     }
 
     /**
-     * Without its vote neither side has a majority. One asks for it, it forgets, and the other asks
-     * for it. By the plain paper, where it says that it is who it was, each gets a leader of the
-     * same term.
+     * Neither side has a majority without the vote of one voter. One side asks for it, the voter
+     * loses its state, and the other side asks for it. If the voter then claims its former
+     * incarnation, as in Raft without a disk, each side elects a leader of the same term.
      */
     @Test
-    public void aVoterThatForgotIsAskedForItsVoteByBothSides() {
-        assertEquals(askedByBothSides(false), Set.of());
-        assertTrue(askedByBothSides(true).contains("A2"));
+    public void aVoterThatLostItsStateDoesNotElectTwoLeadersOfATerm() {
+        assertEquals(violationsWhenBothSidesAskForTheVote(false), Set.of());
+        assertTrue(violationsWhenBothSidesAskForTheVote(true).contains("A2"));
     }
 
-    private Set<String> askedByBothSides(boolean pretends) {
+    private Set<String> violationsWhenBothSidesAskForTheVote(boolean claimsOldIncarnation) {
         ConsensusSimulation simulation = started(5, ConsensusSettings.DEFAULT);
         int leader = simulation.leader();
-        int forgot = (leader + 1) % 5;
+        int voterWithoutState = (leader + 1) % 5;
         VoterSet voters = simulation.view(leader).voters();
         VoterGroup group = simulation.view(leader).group();
         long term = simulation.view(leader).term();
-        Voter was = new Voter(forgot, simulation.view(forgot).incarnation());
-        Set<Integer> one = Set.of((forgot + 1) % 5, (forgot + 2) % 5);
+        Voter voterBefore =
+                new Voter(voterWithoutState, simulation.view(voterWithoutState).incarnation());
+        Set<Integer> one = Set.of((voterWithoutState + 1) % 5, (voterWithoutState + 2) % 5);
         for (int side = 0; side < 2; side++) {
             Set<Integer> with = new HashSet<>(one);
             if (side == 0) {
-                with.add(forgot);
+                with.add(voterWithoutState);
             }
-            part(simulation, with);
-            simulation.kill(forgot);
-            if (pretends) {
+            partition(simulation, with);
+            simulation.kill(voterWithoutState);
+            if (claimsOldIncarnation) {
                 simulation.pretend(
-                        forgot,
-                        was.incarnation(),
-                        BrokenConsensusTest.pretending(group, was, voters));
+                        voterWithoutState,
+                        voterBefore.incarnation(),
+                        BrokenConsensusTest.storageClaiming(group, voterBefore, voters));
             } else {
-                simulation.restart(forgot);
+                simulation.restart(voterWithoutState);
             }
             simulation.play(8 * SECOND);
         }
-        for (int i = 0; i < 5 && !pretends; i++) {
-            assertEquals(simulation.view(i).term(), term, "copy " + i);
+        for (int i = 0; i < 5 && !claimsOldIncarnation; i++) {
+            assertEquals(simulation.view(i).term(), term, "replica " + i);
         }
         simulation.heal();
         simulation.play(8 * SECOND);
-        assertTrue(pretends || simulation.leader() >= 0 && simulation.agree());
-        return judged(simulation);
+        assertTrue(claimsOldIncarnation || simulation.leader() >= 0 && simulation.agree());
+        return violations(simulation);
     }
 
     /**
-     * The replica that leads is told to end just after it took something: it hands over, and is
-     * gone at any moment after. All that go on load it, or none does and its number is another's.
+     * The leader is asked to shut down just after it accepted a proposal: it hands over leadership
+     * and ends at any moment after. Either all remaining replicas apply the entry, or none does and
+     * its log position holds another entry.
      */
     @Test
-    public void somethingIsCommittedAsItsCopyIsToldToEnd() {
+    public void anEntryIsAppliedByAllOrNoneWhenItsLeaderShutsDown() {
         int loaded = 0;
         for (long wait = 0; wait < 120; wait += 8) {
             ConsensusSimulation simulation = started(7, ConsensusSettings.DEFAULT);
@@ -172,7 +175,7 @@
                 simulation.play(SECOND);
             }
             assertTrue(simulation.leader() >= 0 && simulation.agree(), "after " + wait + " ms");
-            assertEquals(judged(simulation), Set.of(), "after " + wait + " ms");
+            assertEquals(violations(simulation), Set.of(), "after " + wait + " ms");
             String sum =
                     events.stream()
                             .filter(
@@ -194,15 +197,18 @@
                             .map(HistoryEvent::replica)
                             .distinct()
                             .count();
-            assertTrue(with == 0 || with == 6, "loaded by " + with + " after " + wait + " ms");
+            assertTrue(with == 0 || with == 6, "applied by " + with + " after " + wait + " ms");
             loaded += with == 6 ? 1 : 0;
         }
-        assertTrue(loaded > 0, "none of all");
+        assertTrue(loaded > 0, "applied after no wait");
     }
 
-    /** Forty replicas hand on all that they can while nothing is committed. */
+    /**
+     * Forty replicas forward many proposals while nothing can be committed: the leader stores only
+     * a bounded number of them.
+     */
     @Test
-    public void whatOthersHandOnIsBounded() {
+    public void aLeaderStoresABoundedNumberOfForwardedProposals() {
         ConsensusSimulation simulation = started(40, ConsensusSettings.DEFAULT);
         int leader = simulation.leader();
         IntStream.range(0, 40).forEach(i -> simulation.cut(i, leader, true));
@@ -210,7 +216,7 @@
         for (int i = 0; i < 10_000; i++) {
             int from = (leader + 1 + i % 39) % 40;
             RaftNode view = simulation.view(from);
-            RaftMessage hand =
+            RaftMessage forwardedMessage =
                     new RaftMessage.ForwardProposal(
                             new Proposal(from, 1, i, view.appliedPosition(), new byte[20]));
             simulation.inject(
@@ -225,7 +231,7 @@
                                     0,
                                     1,
                                     0,
-                                    RaftMessageCodec.encode(hand))
+                                    RaftMessageCodec.encode(forwardedMessage))
                             .encode());
         }
         assertTrue(simulation.view(leader).isLeader());
--- a/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/ConsensusSimulationTest.java
@@ -24,8 +24,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Replicas that agree, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the
- * same.
+ * Tests consensus in simulation, with provoked failures. Seeds are fixed, so the results are
+ * reproducible.
  */
 public class ConsensusSimulationTest {
 
@@ -54,7 +54,7 @@
         return number;
     }
 
-    private static void forgetAll(ConsensusSimulation simulation) {
+    private static void restartAllVotersWithoutState(ConsensusSimulation simulation) {
         for (Voter voter : simulation.view(simulation.leader()).voters().all()) {
             simulation.kill(voter.replica());
             simulation.restart(voter.replica());
@@ -89,7 +89,7 @@
     }
 
     @Test
-    public void stormsBreakNoRuleAndEnd() {
+    public void faultStormsViolateNoInvariantAndSettle() {
         for (long seed = 1; seed <= 100; seed++) {
             FaultStorm.Result result = FaultStorm.play(seed, RaftNode::new);
             assertEquals(result.breaches(), List.of(), "seed " + seed);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void whatALeaderSaysThatStoodStillHasNoEffect() {
+    public void messagesOfALeaderThatWasPausedHaveNoEffect() {
         ConsensusSimulation simulation = started(7, SETTINGS, 8);
         int stalled = simulation.leader();
         long term = simulation.view(stalled).term();
@@ -107,7 +107,9 @@
         simulation.play(4 * SECOND);
         int other = simulation.leader();
         assertNotEquals(other, stalled);
-        assertTrue(simulation.view(stalled).isLeader(), "it believes that it leads");
+        assertTrue(
+                simulation.view(stalled).isLeader(),
+                "the paused replica still believes that it leads");
         LogPosition number = commit(simulation);
         simulation.play(100 * MILLI);
         assertEquals(simulation.leader(), other);
@@ -117,7 +119,7 @@
     }
 
     @Test
-    public void aVoterThatForgotVotesAgainUnderItsNewLife() {
+    public void aVoterThatLostItsStateIsReplacedByItsNewIncarnation() {
         ConsensusSimulation simulation = started(5, SETTINGS, 8);
         int leader = simulation.leader();
         int voter = (leader + 1) % 5;
@@ -134,19 +136,19 @@
     }
 
     @Test
-    public void aSilentVoterIsReplacedByOneOfItsZone() {
+    public void aDeadVoterIsReplacedAndZonesStayBalanced() {
         ConsensusSimulation simulation = started(12, SETTINGS, 8);
         int leader = simulation.leader();
-        Voter gone =
+        Voter killed =
                 simulation.view(leader).voters().all().stream()
                         .filter(v -> v.replica() != leader)
                         .findFirst()
                         .get();
-        simulation.kill(gone.replica());
+        simulation.kill(killed.replica());
         simulation.play(15 * SECOND);
         List<Voter> voters = simulation.view(simulation.leader()).voters().all();
         assertEquals(voters.size(), 5);
-        assertFalse(voters.contains(gone));
+        assertFalse(voters.contains(killed));
         for (int zone = 0; zone < 3; zone++) {
             int wanted = zone;
             long there = voters.stream().filter(v -> v.replica() % 3 == wanted).count();
@@ -155,13 +157,13 @@
     }
 
     @Test
-    public void aGroupWhoseMajorityForgotStopsUntilAnOperatorFormsAnother() {
+    public void aGroupWhoseMajorityLostItsStateStopsUntilAnOperatorFormsAnother() {
         ConsensusSimulation simulation = started(9, SETTINGS, 8);
         LogPosition before = commit(simulation);
-        forgetAll(simulation);
+        restartAllVotersWithoutState(simulation);
         simulation.play(30 * SECOND);
         assertEquals(simulation.leader(), -1);
-        assertTrue(simulation.agree(), "learners have it still");
+        assertTrue(simulation.agree(), "the learners still have the entry");
         simulation.form(3);
         simulation.play(15 * SECOND);
         LogPosition after = commit(simulation);
@@ -170,7 +172,7 @@
     }
 
     @Test
-    public void afterTheStatedSilenceAMajorityOfCopiesFormsAGroupAndAMinorityDoesNot() {
+    public void afterTheFormationTimeoutOnlyAMajorityOfReplicasFormsAGroup() {
         ConsensusSimulation simulation = started(9, SETTINGS.withFormationTimeout(6 * SECOND), 8);
         LogPosition before = commit(simulation);
         List<Integer> voters =
@@ -188,30 +190,30 @@
                 .forEach(i -> assertEquals(simulation.view(i).group(), before.group()));
         simulation.heal();
         simulation.play(10 * SECOND);
-        forgetAll(simulation);
+        restartAllVotersWithoutState(simulation);
         simulation.play(40 * SECOND);
         assertTrue(simulation.leader() >= 0);
         assertTrue(commit(simulation).compareTo(before) > 0);
     }
 
     @Test
-    public void oneThatWasAwayGetsASnapshotInPieces() {
+    public void aReplicaThatRestartsLateReceivesASnapshotInFragments() {
         ConsensusSimulation simulation = started(8, SETTINGS, 30_000);
-        int away = (simulation.leader() + 1) % 8;
-        simulation.kill(away);
+        int stopped = (simulation.leader() + 1) % 8;
+        simulation.kill(stopped);
         for (int i = 0; i < 100; i++) {
             simulation.propose(simulation.leader(), new byte[200]);
             simulation.play(100 * MILLI);
         }
         simulation.network(new ConsensusSimulation.Network(0.3, 0.02, 0.01, 2 * MILLI, 21 * MILLI));
-        simulation.restart(away);
+        simulation.restart(stopped);
         simulation.play(15 * SECOND);
         assertTrue(simulation.agree());
-        assertNotEquals(simulation.sum(away), 0);
+        assertNotEquals(simulation.sum(stopped), 0);
     }
 
     @Test
-    public void aLeaderHandsOverAtOnce() {
+    public void aLeaderHandsOverWithin150Milliseconds() {
         ConsensusSimulation simulation = started(5, SETTINGS, 8);
         int leader = simulation.leader();
         simulation.transfer(leader);
@@ -221,33 +223,34 @@
     }
 
     /**
-     * It stood still, and all that was sent to it waited: at its first look it knows how old that
-     * is.
+     * The datagrams sent to a paused replica are buffered: as soon as it resumes, it has to know
+     * how old its leader contact is.
      */
     @Test
-    public void aCopyThatStoodStillKnowsThatItsContactIsOld() {
+    public void aReplicaThatWasPausedKnowsTheAgeOfItsLeaderContact() {
         ConsensusSimulation simulation = started(12, SETTINGS, 8);
         simulation.play(3 * SECOND);
         for (int i = 0; i < 12; i++) {
             assertTrue(
                     simulation.contactAge(i) >= 0 && simulation.contactAge(i) < 3 * SECOND,
-                    "copy " + i);
+                    "replica " + i);
         }
-        int still = (simulation.leader() + 1) % 12;
-        simulation.stall(still, 6 * SECOND);
+        int paused = (simulation.leader() + 1) % 12;
+        simulation.stall(paused, 6 * SECOND);
         simulation.play(6 * SECOND + 1);
         assertTrue(
-                simulation.contactAge(still) > 5_900 * MILLI,
-                "age " + simulation.contactAge(still));
+                simulation.contactAge(paused) > 5_900 * MILLI,
+                "age " + simulation.contactAge(paused));
         simulation.play(3 * SECOND);
-        assertTrue(simulation.contactAge(still) < 3 * SECOND);
+        assertTrue(simulation.contactAge(paused) < 3 * SECOND);
     }
 
     /**
-     * What replicas that don't lead hand on is committed, one after another, and said once each.
+     * Proposals that replicas forward to the leader are committed in order, and the outcome of each
+     * is reported once.
      */
     @Test
-    public void anyCopyProposesAndIsToldOnce() {
+    public void anyReplicaProposesAndReceivesEachOutcomeOnce() {
         ConsensusSimulation simulation = started(40, SETTINGS, 8);
         simulation.network(new ConsensusSimulation.Network(0.3, 0.05, 0.01, 2 * MILLI, 21 * MILLI));
         for (int replica = 0; replica < 40; replica++) {
@@ -266,7 +269,7 @@
                             ProposalOutcome.COMMITTED,
                             ProposalOutcome.COMMITTED,
                             ProposalOutcome.COMMITTED),
-                    "copy " + replica);
+                    "replica " + replica);
             for (int i = 0; i < 3; i++) {
                 assertEquals(settled.get(i).proposal().content()[1], i);
                 assertTrue(
@@ -278,71 +281,71 @@
     }
 
     /**
-     * The leader has it and is lost before the word of it is out: asked of the next one, it counts
-     * once.
+     * The leader accepts a proposal and dies before its answer is sent: the proposal is forwarded
+     * to the next leader and takes effect once.
      */
     @Test
-    public void aProposalOutlivesItsLeader() {
+    public void aProposalIsCommittedOnceThoughItsLeaderDies() {
         for (long wait = 2; wait < 90; wait += 4) {
             ConsensusSimulation simulation = started(7, SETTINGS, 8);
             int leader = simulation.leader();
-            int by = (leader + 1) % 7;
-            simulation.forwardProposal(by, new byte[] {1}, 20 * SECOND);
+            int proposer = (leader + 1) % 7;
+            simulation.forwardProposal(proposer, new byte[] {1}, 20 * SECOND);
             simulation.play(wait * MILLI);
             simulation.kill(leader);
             simulation.play(10 * SECOND);
-            assertEquals(simulation.settled(by).size(), 1, "after " + wait + " ms");
-            assertEquals(simulation.settled(by).get(0).outcome(), ProposalOutcome.COMMITTED);
+            assertEquals(simulation.settled(proposer).size(), 1, "after " + wait + " ms");
+            assertEquals(simulation.settled(proposer).get(0).outcome(), ProposalOutcome.COMMITTED);
             assertTrue(simulation.agree());
         }
     }
 
     /**
-     * Without a leader: never handed on, so surely not taken; handed to one that is silent:
-     * unknown.
+     * A proposal that was never forwarded, since there is no leader, was certainly not accepted;
+     * the outcome of one that was forwarded to a leader that does not answer is unknown.
      */
     @Test
-    public void whatIsNotKnownIsNotClaimed() {
-        ConsensusSimulation lone =
+    public void anUnansweredProposalIsUnknownAndAnUnforwardedOneNotTaken() {
+        ConsensusSimulation withoutLeader =
                 new ConsensusSimulation(3, CALM, SETTINGS, false, 8, 7, RaftNode::new, null);
-        lone.forwardProposal(0, new byte[1], 3 * SECOND);
-        lone.play(2_900 * MILLI);
-        assertEquals(lone.settled(0), List.of());
-        lone.play(200 * MILLI);
-        assertEquals(lone.settled(0).get(0).outcome(), ProposalOutcome.NOT_TAKEN);
+        withoutLeader.forwardProposal(0, new byte[1], 3 * SECOND);
+        withoutLeader.play(2_900 * MILLI);
+        assertEquals(withoutLeader.settled(0), List.of());
+        withoutLeader.play(200 * MILLI);
+        assertEquals(withoutLeader.settled(0).get(0).outcome(), ProposalOutcome.NOT_TAKEN);
         ConsensusSimulation simulation = started(7, SETTINGS, 8);
-        int by = (simulation.leader() + 1) % 7;
+        int proposer = (simulation.leader() + 1) % 7;
         for (int i = 0; i < 7; i++) {
-            simulation.cut(i, by, true);
+            simulation.cut(i, proposer, true);
         }
-        Proposal proposal = simulation.forwardProposal(by, new byte[] {7}, 2 * SECOND);
+        Proposal proposal = simulation.forwardProposal(proposer, new byte[] {7}, 2 * SECOND);
         simulation.play(3 * SECOND);
-        assertEquals(simulation.settled(by).get(0).outcome(), ProposalOutcome.UNKNOWN);
+        assertEquals(simulation.settled(proposer).get(0).outcome(), ProposalOutcome.UNKNOWN);
         simulation.heal();
-        simulation.forwardProposalAgain(by, proposal, 5 * SECOND);
+        simulation.forwardProposalAgain(proposer, proposal, 5 * SECOND);
         simulation.play(5 * SECOND);
-        assertEquals(simulation.settled(by).get(1).outcome(), ProposalOutcome.COMMITTED);
+        assertEquals(simulation.settled(proposer).get(1).outcome(), ProposalOutcome.COMMITTED);
     }
 
     /**
-     * One that left its group and has nothing of the next forms one: it still knows what took
-     * effect.
+     * A replica that left its group and has received nothing of the next one forms a group: it
+     * still knows which proposals took effect.
      */
     @Test
-    public void aProposalTakesEffectOnceThoughGroupsFollowOneAnother() {
+    public void aProposalTakesEffectOnceAcrossGroups() {
         List<HistoryEvent> events = new ArrayList<>();
         ConsensusSimulation simulation =
                 new ConsensusSimulation(7, CALM, SETTINGS, false, 8, 7, RaftNode::new, events::add);
         simulation.form(0);
         simulation.play(15 * SECOND);
-        int by = (simulation.leader() + 1) % 7;
-        int founder = (by + 1) % 7;
+        int proposer = (simulation.leader() + 1) % 7;
+        int founder = (proposer + 1) % 7;
         for (int i = 0; i < 7; i++) {
-            simulation.cut(i, by, true);
+            simulation.cut(i, proposer, true);
         }
-        Proposal proposal = simulation.forwardProposal(by, new byte[] {7}, 2 * SECOND);
+        Proposal proposal = simulation.forwardProposal(proposer, new byte[] {7}, 2 * SECOND);
         simulation.play(3 * SECOND);
-        simulation.form((by + 2) % 7);
+        simulation.form((proposer + 2) % 7);
         int era = simulation.view(founder).group().era();
         for (int i = 0; i < 10_000 && simulation.view(founder).group().era() == era; i++) {
             simulation.play(MILLI / 10);
@@ -351,10 +354,10 @@
         simulation.form(founder);
         simulation.play(8 * SECOND);
         simulation.heal();
-        simulation.forwardProposalAgain(by, proposal, 5 * SECOND);
+        simulation.forwardProposalAgain(proposer, proposal, 5 * SECOND);
         simulation.play(5 * SECOND);
-        assertEquals(simulation.settled(by).get(1).outcome(), ProposalOutcome.COMMITTED);
-        assertEquals(simulation.settled(by).get(1).number().group().era(), era);
+        assertEquals(simulation.settled(proposer).get(1).outcome(), ProposalOutcome.COMMITTED);
+        assertEquals(simulation.settled(proposer).get(1).number().group().era(), era);
         assertEquals(
                 History.judged(
                         events,
@@ -363,43 +366,46 @@
                 List.of());
     }
 
-    /** Its clock went back: what a former life proposed does not stand for what this one does. */
+    /**
+     * The clock of a replica went back, so that it restarts with an earlier incarnation: an outcome
+     * of a former incarnation must not count for its own proposals.
+     */
     @Test
-    public void aCopyThatComesBackWithAnEarlierLifeIsNotTakenForItsFormerSelf() {
+    public void aReplicaWithAnEarlierIncarnationReceivesNoOutcomeOfItsFormerOne() {
         ConsensusSimulation simulation = started(7, SETTINGS, 8);
-        int by = (simulation.leader() + 1) % 7;
-        simulation.forwardProposal(by, new byte[] {1}, 5 * SECOND);
+        int proposer = (simulation.leader() + 1) % 7;
+        simulation.forwardProposal(proposer, new byte[] {1}, 5 * SECOND);
         simulation.play(3 * SECOND);
-        simulation.kill(by);
-        simulation.pretend(by, 1, StableStorage.NONE);
+        simulation.kill(proposer);
+        simulation.pretend(proposer, 1, StableStorage.NONE);
         simulation.play(3 * SECOND);
-        simulation.forwardProposal(by, new byte[] {2}, 5 * SECOND);
+        simulation.forwardProposal(proposer, new byte[] {2}, 5 * SECOND);
         simulation.play(3 * SECOND);
-        assertNotEquals(simulation.settled(by).get(0).outcome(), ProposalOutcome.COMMITTED);
-        simulation.forwardProposal(by, new byte[] {3}, 5 * SECOND);
+        assertNotEquals(simulation.settled(proposer).get(0).outcome(), ProposalOutcome.COMMITTED);
+        simulation.forwardProposal(proposer, new byte[] {3}, 5 * SECOND);
         simulation.play(3 * SECOND);
-        assertEquals(simulation.settled(by).get(1).outcome(), ProposalOutcome.COMMITTED);
+        assertEquals(simulation.settled(proposer).get(1).outcome(), ProposalOutcome.COMMITTED);
     }
 
     /**
-     * Its clock went back, so that its life is smaller than the one before: it takes a larger one
-     * and is heard.
+     * The clock of a replica went back, so that its incarnation is smaller than the one before: it
+     * adopts a larger one, and the others accept its messages.
      */
     @Test
-    public void aLifeThatIsTooSmallIsMended() {
+    public void anIncarnationThatIsTooSmallIsReplacedByALargerOne() {
         ConsensusSimulation simulation = started(7, SETTINGS, 8);
-        int back = (simulation.leader() + 1) % 7;
-        long before = simulation.view(back).incarnation();
-        simulation.kill(back);
-        simulation.pretend(back, 1, StableStorage.NONE);
+        int restarted = (simulation.leader() + 1) % 7;
+        long before = simulation.view(restarted).incarnation();
+        simulation.kill(restarted);
+        simulation.pretend(restarted, 1, StableStorage.NONE);
         simulation.play(5 * SECOND);
         commit(simulation);
-        assertTrue(simulation.view(back).incarnation() > before);
+        assertTrue(simulation.view(restarted).incarnation() > before);
     }
 
-    /** What a replica sends does not grow with the number of replicas. */
+    /** The number of bytes that a replica sends does not grow with the number of replicas. */
     @Test
-    public void oneOfManySendsNoMoreThanOneOfFew() {
+    public void aReplicaSendsNoMoreInALargeTierThanInASmallOne() {
         double[] sent = new double[2];
         int[] sizes = {10, 200};
         for (int i = 0; i < 2; i++) {
--- a/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
@@ -20,8 +20,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What replicas that decide together send and do from a seed, held against an earlier build. Every
- * datagram is in the digests, so where they are the same the two builds may run in one tier.
+ * Compares the datagrams and events of seeded simulations with those recorded from an earlier
+ * build. The digests cover every datagram, so two builds with equal digests can run in one tier.
  */
 public class GoldenHistoriesTest {
 
@@ -34,7 +34,7 @@
     private final StringBuilder samples = new StringBuilder();
     private Golden.Digest digest = new Golden.Digest();
     private int sent;
-    private int kinds;
+    private int storedVoterSets;
 
     private void datagram(int from, int to, byte[] bytes) {
         digest.add(from + ">" + to).add(bytes);
@@ -56,12 +56,12 @@
                         + new TreeMap<>(event.fields()));
     }
 
-    /** Passes all on, and counts what is sent. */
-    private final class Watched implements RaftNode.Actions {
+    /** Forwards all actions, and adds the sent datagrams to the digest. */
+    private final class RecordingActions implements RaftNode.Actions {
         private final RaftNode.Actions to;
         private final int self;
 
-        Watched(int self, RaftNode.Actions to) {
+        RecordingActions(int self, RaftNode.Actions to) {
             this.self = self;
             this.to = to;
         }
@@ -94,18 +94,18 @@
         }
 
         @Override
-        public void record(ConsensusEvent note) {
-            kinds +=
-                    note instanceof ConsensusEvent.EntryStored stored
+        public void record(ConsensusEvent consensusEvent) {
+            storedVoterSets +=
+                    consensusEvent instanceof ConsensusEvent.EntryStored stored
                                     && stored.entry().kind() == LogEntry.Kind.VOTERS
                             ? 1
                             : 0;
-            to.record(note);
+            to.record(consensusEvent);
         }
     }
 
     @Test
-    public void stormsOfTheLogAreThoseOfTheEarlierBuild() {
+    public void faultStormsMatchTheEarlierBuild() {
         StringBuilder lines = new StringBuilder();
         for (long seed = 1; seed <= 12; seed++) {
             digest = new Golden.Digest();
@@ -120,7 +120,7 @@
                                             settings,
                                             store,
                                             random,
-                                            new Watched(self, outlet),
+                                            new RecordingActions(self, outlet),
                                             now));
             lines.append(
                     seed
@@ -133,7 +133,7 @@
                             + " settled "
                             + result.settled()
                             + " voters "
-                            + kinds
+                            + storedVoterSets
                             + " sent "
                             + digest
                             + "\n");
@@ -142,11 +142,11 @@
     }
 
     @Test
-    public void copiesThatDecideTogetherDoAsThoseOfTheEarlierBuild() {
+    public void coordinatedReplicasMatchTheEarlierBuild() {
         StringBuilder lines = new StringBuilder();
         for (long seed = 1; seed <= 6; seed++) {
             digest = new Golden.Digest();
-            CoordinationSimulation world =
+            CoordinationSimulation simulation =
                     new CoordinationSimulation(
                             new int[] {0, 1, 2, 0, 1, 2, 0},
                             ROUGH,
@@ -155,33 +155,33 @@
                             CoordinationSimulation.plain(
                                     ConsensusSettings.DEFAULT, CoordinationSettings.DEFAULT),
                             this::event);
-            world.filter(
+            simulation.filter(
                     (from, to, bytes) -> {
                         datagram(from, to, bytes);
                         return true;
                     });
-            IntConsumer play = seconds -> world.play(seconds * SECOND);
-            world.form(0);
+            IntConsumer play = seconds -> simulation.play(seconds * SECOND);
+            simulation.form(0);
             play.accept(15);
-            world.kill(Math.max(0, world.leader()));
+            simulation.kill(Math.max(0, simulation.leader()));
             play.accept(10);
-            world.restart(firstDown(world));
-            world.propose(4, new byte[300], 5 * SECOND);
+            simulation.restart(firstStopped(simulation));
+            simulation.propose(4, new byte[300], 5 * SECOND);
             play.accept(10);
-            world.cutOff(List.of(1, 2));
+            simulation.cutOff(List.of(1, 2));
             play.accept(15);
-            world.heal();
+            simulation.heal();
             play.accept(15);
             List<Integer> outcomes = new ArrayList<>();
-            world.settled(4).forEach(outcome -> outcomes.add(outcome.ordinal()));
+            simulation.settled(4).forEach(outcome -> outcomes.add(outcome.ordinal()));
             lines.append(seed + " " + outcomes + " " + digest + "\n");
         }
         Golden.check("coordination-worlds.txt", lines.toString());
     }
 
-    private static int firstDown(CoordinationSimulation world) {
-        for (int i = 0; i < world.size(); i++) {
-            if (!world.runs(i)) {
+    private static int firstStopped(CoordinationSimulation simulation) {
+        for (int i = 0; i < simulation.size(); i++) {
+            if (!simulation.runs(i)) {
                 return i;
             }
         }
@@ -189,7 +189,7 @@
     }
 
     @Test
-    public void failoverDoesAsThatOfTheEarlierBuild() {
+    public void failoverRunsMatchTheEarlierBuild() {
         StringBuilder lines = new StringBuilder();
         for (World world : World.values()) {
             List<String> policies =
--- a/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/membership/SwimSimulationTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Membership among many, with what goes wrong made to go wrong. Seeds are fixed: the verdict is the
- * same.
+ * Tests SWIM membership among many instances in simulation, with provoked failures. Seeds are
+ * fixed, so the results are reproducible.
  */
 public class SwimSimulationTest {
 
@@ -27,10 +27,10 @@
         return new SwimSimulation(size, network, MembershipSettings.DEFAULT, seed);
     }
 
-    private static boolean allAgree(SwimSimulation mesh, int about, boolean live) {
+    private static boolean allAgree(SwimSimulation mesh, int subject, boolean live) {
         return IntStream.range(0, mesh.size())
-                .filter(i -> i != about && mesh.runs(i))
-                .allMatch(i -> mesh.view(i).member(about).isLive() == live);
+                .filter(i -> i != subject && mesh.runs(i))
+                .allMatch(i -> mesh.view(i).member(subject).isLive() == live);
     }
 
     private static List<SwimSimulation.Change> deaths(SwimSimulation mesh) {
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void nearlyHalfDieAtOnceAndAllOthersFindOut() {
+    public void allSurvivorsDetectThatNearlyHalfDiedAtOnce() {
         for (long seed = 1; seed <= 3; seed++) {
             FailureDetectionTrial detection =
                     new FailureDetectionTrial(50, LOSSY, 0.48, MembershipSettings.DEFAULT, 20, 90);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    public void oneThatLeavesIsNotMissed() {
+    public void anInstanceThatLeavesIsNotSuspected() {
         SwimSimulation mesh = mesh(30, QUIET, 2);
         mesh.play(10 * SECOND);
         mesh.leave(4);
@@ -77,14 +77,14 @@
     }
 
     @Test
-    public void aNewLifeIsBelievedAndTheOldOneNotAgain() {
+    public void anInstanceThatRestartsWithATooSmallIncarnationBecomesLive() {
         SwimSimulation mesh = mesh(20, QUIET, 3);
         mesh.play(10 * SECOND);
         mesh.kill(7);
         mesh.play(40 * SECOND);
         assertTrue(allAgree(mesh, 7, false));
-        // Its clock went back, so its number is too small: the others say so, and it takes a larger
-        // one.
+        // Its clock went back, so its incarnation is too small: the others report this, and it
+        // adopts a larger one.
         mesh.restart(7, 0);
         mesh.play(20 * SECOND);
         assertTrue(allAgree(mesh, 7, true));
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void oneThatStartsLearnsWhoIsDead() {
+    public void anInstanceThatStartsLearnsWhoIsDead() {
         SwimSimulation mesh = mesh(20, QUIET, 4);
         mesh.play(5 * SECOND);
         mesh.kill(1);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    public void twoHalvesFindOneAnotherAgain() {
+    public void twoHalvesRejoinAfterAPartition() {
         SwimSimulation mesh = mesh(20, QUIET, 6);
         mesh.play(5 * SECOND);
         mesh.cut(i -> i < 10);
@@ -123,11 +123,11 @@
     }
 
     /**
-     * Lifeguard's case: some stand still for long again and again, and nobody healthy is buried for
-     * it.
+     * The case that Lifeguard addresses: some instances are paused repeatedly, and no healthy
+     * instance may be marked dead for it.
      */
     @Test
-    public void thoseThatStandStillBuryNobody() {
+    public void pausedInstancesMarkNoHealthyOneDead() {
         SwimSimulation mesh = mesh(40, QUIET, 8);
         mesh.play(5 * SECOND);
         for (int round = 0; round < 20; round++) {
@@ -146,7 +146,7 @@
     }
 
     @Test
-    public void whatOneSendsDoesNotGrowWithTheMesh() {
+    public void theRateOfOneInstanceDoesNotGrowWithTheMesh() {
         double[] perSecond = new double[2];
         double[] bytes = new double[2];
         int[] sizes = {10, 200};
@@ -157,15 +157,18 @@
             bytes[i] = mesh.bytes() / 30.0 / sizes[i];
             mesh.kill(0);
             mesh.play(30 * SECOND);
-            assertTrue(mesh.maxInSecond() <= 40, mesh.maxInSecond() + " messages in a second");
+            assertTrue(mesh.maxInSecond() <= 40, mesh.maxInSecond() + " messages in one second");
         }
         assertEquals(perSecond[1], perSecond[0], 0.5);
-        assertTrue(bytes[1] <= 1.5 * bytes[0], bytes[0] + " and " + bytes[1] + " bytes a second");
+        assertTrue(bytes[1] <= 1.5 * bytes[0], bytes[0] + " and " + bytes[1] + " bytes per second");
     }
 
-    /** Where many answers are lost news does not grow with the mesh either. */
+    /**
+     * Even if many answers are lost, the bytes that an instance sends stay bounded in a larger
+     * mesh.
+     */
     @Test
-    public void lossesAreNoNews() {
+    public void lossDoesNotMultiplyTheBytesSentInALargerMesh() {
         double[] bytes = new double[2];
         int[] sizes = {10, 200};
         for (int i = 0; i < 2; i++) {
@@ -174,25 +177,25 @@
             long before = mesh.bytes();
             mesh.play(20 * SECOND);
             bytes[i] = (mesh.bytes() - before) / 20.0 / sizes[i];
-            // What is asked of membership: fewer than one false death in 10,000 pairs.
+            // The requirement on membership: fewer than one false death in 10,000 pairs.
             assertTrue(
                     deaths(mesh).size() <= sizes[i] * (sizes[i] - 1) / 10_000,
                     deaths(mesh).toString());
         }
-        assertTrue(bytes[1] <= 3 * bytes[0], bytes[0] + " and " + bytes[1] + " bytes a second");
+        assertTrue(bytes[1] <= 3 * bytes[0], bytes[0] + " and " + bytes[1] + " bytes per second");
     }
 
     /**
-     * Each kind of trouble passes, and those who were not in it are not taken for dead by one
-     * another.
+     * After each kind of temporary fault all instances agree again, and instances that were not
+     * affected do not mark one another dead.
      */
     @Test
-    public void troublePasses() {
+    public void allInstancesAgreeAgainAfterEachTemporaryFault() {
         for (TransientFaultTrial.Kind kind : TransientFaultTrial.Kind.values()) {
-            TransientFaultTrial trouble =
+            TransientFaultTrial faultTrial =
                     new TransientFaultTrial(kind, 40, QUIET, MembershipSettings.DEFAULT);
-            trouble.play(11);
-            TransientFaultTrial.Figures figures = trouble.figures();
+            faultTrial.play(11);
+            TransientFaultTrial.Figures figures = faultTrial.figures();
             assertEquals(figures.never(), 0, figures.toString());
             assertTrue(figures.worst() <= 15, figures.toString());
             assertEquals(figures.falseDeaths(), 0, figures.toString());
