--- a/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/ConsensusSimulation.java
@@ -60,15 +60,15 @@
             long at, Proposal proposal, ProposalOutcome outcome, LogPosition number) {}
 
     /** Creates the consensus node of a replica, so that a test can use a faulty one instead. */
-    public interface Maker {
-        RaftNode make(
+    public interface NodeFactory {
+        RaftNode create(
                 int[] zones,
                 int self,
                 long incarnation,
                 ConsensusSettings settings,
                 StableStorage store,
                 RandomGenerator random,
-                RaftNode.Actions outlet,
+                RaftNode.Actions actions,
                 long now);
     }
 
@@ -135,7 +135,7 @@
             hosts.forEach(each -> each.sentTo[number] = Long.MIN_VALUE);
             emit("started", Map.of("kept", hasState ? "1" : "0"));
             node =
-                    maker.make(
+                    nodeFactory.create(
                             zones,
                             number,
                             incarnation,
@@ -199,17 +199,17 @@
         }
 
         @Override
-        public void send(int to, byte[] piece) {
+        public void send(int to, byte[] datagram) {
             messages++;
-            bytes += piece.length;
-            if (random.nextDouble() < network.loss || blocked(number, to)) {
+            bytes += datagram.length;
+            if (random.nextDouble() < network.loss || isCut(number, to)) {
                 return;
             }
             int times = random.nextDouble() < network.doubled ? 2 : 1;
             for (int i = 0; i < times; i++) {
-                byte[] sent = piece;
+                byte[] sent = datagram;
                 if (random.nextDouble() < network.corrupt) {
-                    sent = piece.clone();
+                    sent = datagram.clone();
                     sent[random.nextInt(sent.length)] ^= (byte) (1 << random.nextInt(8));
                 }
                 byte[] delivered = sent;
@@ -220,7 +220,7 @@
                 time.at(
                         now() + random.nextLong(network.minDelay, network.maxDelay + 1),
                         () -> {
-                            if (!blocked(number, to)) {
+                            if (!isCut(number, to)) {
                                 target.run(
                                         target.process(),
                                         () -> {
@@ -364,7 +364,7 @@
     }
 
     private final ConsensusSettings settings;
-    private final Maker maker;
+    private final NodeFactory nodeFactory;
     private final Consumer<HistoryEvent> listener;
     private final SplittableRandom random;
     private final int[] zones;
@@ -391,11 +391,11 @@
             boolean disks,
             int stateBytes,
             long seed,
-            Maker maker,
+            NodeFactory nodeFactory,
             Consumer<HistoryEvent> listener) {
         this.network = network;
         this.settings = settings;
-        this.maker = maker;
+        this.nodeFactory = nodeFactory;
         this.listener = listener;
         this.random = new SplittableRandom(seed);
         this.stateBytes = stateBytes;
@@ -413,7 +413,7 @@
                                 false));
     }
 
-    private boolean blocked(int from, int to) {
+    private boolean isCut(int from, int to) {
         return cut[from][to];
     }
 
@@ -642,14 +642,14 @@
             if (host.node != null
                     && !host.isStalled()
                     && host.node.isLeader()
-                    && (found < 0 || newer(host.node, hosts.get(found).node))) {
+                    && (found < 0 || isNewer(host.node, hosts.get(found).node))) {
                 found = host.number;
             }
         }
         return found;
     }
 
-    private static boolean newer(RaftNode one, RaftNode other) {
+    private static boolean isNewer(RaftNode one, RaftNode other) {
         int byGroup = one.group().compareTo(other.group());
         return byGroup > 0 || byGroup == 0 && one.term() > other.term();
     }
--- a/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
+++ b/lab/src/main/java/cedarrudder/lab/consensus/FaultStorm.java
@@ -48,8 +48,8 @@
 
     private FaultStorm() {}
 
-    /** Plays a seed with the consensus nodes that {@code maker} creates. */
-    public static Result play(long seed, ConsensusSimulation.Maker maker) {
+    /** Plays a seed with the consensus nodes that {@code nodeFactory} creates. */
+    public static Result play(long seed, ConsensusSimulation.NodeFactory nodeFactory) {
         SplittableRandom random = new SplittableRandom(seed);
         int size = random.nextInt(8) == 0 ? 11 + random.nextInt(20) : 3 + random.nextInt(8);
         boolean disks = random.nextInt(4) == 0;
@@ -83,7 +83,7 @@
                         disks,
                         600,
                         random.nextLong(),
-                        maker,
+                        nodeFactory,
                         event -> {
                             rules.forEach(rule -> rule.took(event));
                             counts[0] += event.what().equals("loaded") ? 1 : 0;
--- a/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
@@ -40,14 +40,14 @@
      * Creates a coordinated replica, with its traffic and drain coordination and its route table
      * capacity.
      */
-    public interface Maker {
-        CoordinatedReplica make(
+    public interface ReplicaFactory {
+        CoordinatedReplica create(
                 int[] zones,
                 int self,
                 long incarnation,
                 StableStorage store,
                 RandomGenerator random,
-                CoordinatedReplica.Actions outlet,
+                CoordinatedReplica.Actions actions,
                 long now);
     }
 
@@ -55,8 +55,9 @@
      * Returns a factory of replicas that route no traffic between zones and whose capacity fits any
      * route table.
      */
-    public static Maker plain(ConsensusSettings consensusSettings, CoordinationSettings settings) {
-        return (zones, self, incarnation, store, random, outlet, now) ->
+    public static ReplicaFactory plain(
+            ConsensusSettings consensusSettings, CoordinationSettings settings) {
+        return (zones, self, incarnation, store, random, actions, now) ->
                 new CoordinatedReplica(
                         zones,
                         self,
@@ -68,7 +69,7 @@
                         TrafficCoordination.NONE,
                         DrainCoordination.NONE,
                         () -> RouteTableCapacity.ANY,
-                        outlet,
+                        actions,
                         now);
     }
 
@@ -118,7 +119,7 @@
             leaving = List.of();
             record(new HistoryEntry("started", Map.of("kept", hasState ? "1" : "0")));
             replica =
-                    maker.make(
+                    replicaFactory.create(
                             zones, number, incarnation, storage, random.split(), this, ownTime());
             wake();
         }
@@ -180,7 +181,7 @@
         }
     }
 
-    private final Maker maker;
+    private final ReplicaFactory replicaFactory;
     private final Consumer<HistoryEvent> listener;
     private final SplittableRandom random;
     private final int[] zones;
@@ -203,11 +204,11 @@
             Network network,
             boolean disks,
             long seed,
-            Maker maker,
+            ReplicaFactory replicaFactory,
             Consumer<HistoryEvent> listener) {
         this.zones = zones.clone();
         this.network = network;
-        this.maker = maker;
+        this.replicaFactory = replicaFactory;
         this.listener = listener;
         this.random = new SplittableRandom(seed);
         this.cut = new boolean[zones.length][zones.length];
@@ -386,14 +387,14 @@
             if (host.replica != null
                     && !host.isStalled()
                     && host.replica.status(host.ownTime()).isLeader()
-                    && (found < 0 || newer(host, hosts.get(found)))) {
+                    && (found < 0 || isNewer(host, hosts.get(found)))) {
                 found = host.number;
             }
         }
         return found;
     }
 
-    private static boolean newer(Host one, Host other) {
+    private static boolean isNewer(Host one, Host other) {
         CoordinatedReplica.Status a = one.replica.status(one.ownTime());
         CoordinatedReplica.Status b = other.replica.status(other.ownTime());
         int byGroup = a.group().compareTo(b.group());
--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -30,20 +30,28 @@
     private static final ConsensusSimulation.Network CALM =
             new ConsensusSimulation.Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
 
-    private static ConsensusSimulation.Maker with(SafetyRules conduct) {
-        return (zones, self, incarnation, settings, store, random, outlet, now) ->
+    private static ConsensusSimulation.NodeFactory with(SafetyRules safetyRules) {
+        return (zones, self, incarnation, settings, store, random, actions, now) ->
                 new RaftNode(
-                        zones, self, incarnation, settings, store, random, outlet, now, conduct);
+                        zones,
+                        self,
+                        incarnation,
+                        settings,
+                        store,
+                        random,
+                        actions,
+                        now,
+                        safetyRules);
     }
 
     /**
      * Returns the invariants that the seeds violate, up to the first seed that violates one of
      * those in {@code wanted}.
      */
-    private static Set<String> violatedRules(SafetyRules conduct, int seeds, String... wanted) {
+    private static Set<String> violatedRules(SafetyRules safetyRules, int seeds, String... wanted) {
         Set<String> rules = new HashSet<>();
         for (long seed = 1; seed <= seeds && Collections.disjoint(rules, List.of(wanted)); seed++) {
-            FaultStorm.play(seed, with(conduct))
+            FaultStorm.play(seed, with(safetyRules))
                     .breaches()
                     .forEach(breach -> rules.add(breach.rule()));
         }
@@ -56,7 +64,7 @@
                 violatedRules(
                         new SafetyRules() {
                             @Override
-                            boolean mayVote(boolean sworn, boolean seated) {
+                            boolean mayVote(boolean admitted, boolean inVoterSet) {
                                 return true;
                             }
                         },
@@ -121,9 +129,9 @@
                 Set.of("contact"));
     }
 
-    private static Set<String> violationsWhenAContactIsRelayedForMinutes(SafetyRules conduct) {
+    private static Set<String> violationsWhenAContactIsRelayedForMinutes(SafetyRules safetyRules) {
         List<HistoryEvent> events = new ArrayList<>();
-        ConsensusSimulation simulation = started(10, false, conduct, events);
+        ConsensusSimulation simulation = started(10, false, safetyRules, events);
         for (Voter voter : simulation.view(simulation.leader()).voters().all()) {
             simulation.kill(voter.replica());
         }
@@ -156,8 +164,8 @@
                         }));
     }
 
-    private static boolean commitsInTheSameGroupAfterForgeries(SafetyRules conduct) {
-        ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
+    private static boolean commitsInTheSameGroupAfterForgeries(SafetyRules safetyRules) {
+        ConsensusSimulation simulation = started(5, false, safetyRules, new ArrayList<>());
         VoterGroup group = simulation.view(0).group();
         long incarnation = simulation.view(1).incarnation();
         for (int i = 0; i < 100; i++) {
@@ -224,7 +232,7 @@
             }
 
             @Override
-            public void writeHardState(HardState promise) {}
+            public void writeHardState(HardState next) {}
 
             @Override
             public void append(long index, LogEntry entry) {}
@@ -246,12 +254,12 @@
                 violatedRules(
                         new SafetyRules() {
                             @Override
-                            boolean isSameMessage(MessageFragment held, MessageFragment other) {
-                                return held.count() == other.count();
+                            boolean isSameMessage(MessageFragment buffered, MessageFragment other) {
+                                return buffered.count() == other.count();
                             }
 
                             @Override
-                            boolean isIntact(MessageFragment held, byte[] message) {
+                            boolean isIntact(MessageFragment buffered, byte[] message) {
                                 return true;
                             }
                         },
@@ -294,9 +302,9 @@
         assertTrue(rules.contains("A1"), rules.toString());
     }
 
-    private static Set<String> violationsInFigureEight(SafetyRules conduct) {
+    private static Set<String> violationsInFigureEight(SafetyRules safetyRules) {
         List<HistoryEvent> events = new ArrayList<>();
-        ConsensusSimulation simulation = started(5, true, conduct, events);
+        ConsensusSimulation simulation = started(5, true, safetyRules, events);
         int first = simulation.leader();
         int second = (first + 1) % 5;
         isolate(simulation, first, second);
@@ -374,8 +382,8 @@
         assertTrue(without >= 10, "terms " + without);
     }
 
-    private static long termsWhileAVoterIsCutOffRepeatedly(SafetyRules conduct) {
-        ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
+    private static long termsWhileAVoterIsCutOffRepeatedly(SafetyRules safetyRules) {
+        ConsensusSimulation simulation = started(5, false, safetyRules, new ArrayList<>());
         long term = simulation.view(simulation.leader()).term();
         for (int round = 0; round < 5; round++) {
             int voter = (simulation.leader() + 1) % 5;
@@ -404,8 +412,8 @@
                         }));
     }
 
-    private static boolean commitsAfterTheLeaderReceivesNothing(SafetyRules conduct) {
-        ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
+    private static boolean commitsAfterTheLeaderReceivesNothing(SafetyRules safetyRules) {
+        ConsensusSimulation simulation = started(5, false, safetyRules, new ArrayList<>());
         int isolatedLeader = simulation.leader();
         IntStream.range(0, 5).forEach(i -> simulation.cut(i, isolatedLeader, i != isolatedLeader));
         simulation.play(4 * SECOND);
@@ -417,7 +425,7 @@
     }
 
     private static ConsensusSimulation started(
-            int size, boolean disks, SafetyRules conduct, List<HistoryEvent> events) {
+            int size, boolean disks, SafetyRules safetyRules, List<HistoryEvent> events) {
         ConsensusSimulation simulation =
                 new ConsensusSimulation(
                         size,
@@ -426,7 +434,7 @@
                         disks,
                         8,
                         1,
-                        with(conduct),
+                        with(safetyRules),
                         events::add);
         simulation.form(0);
         simulation.play(12 * SECOND);
--- a/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
+++ b/lab/src/test/java/cedarrudder/lab/consensus/GoldenHistoriesTest.java
@@ -67,9 +67,9 @@
         }
 
         @Override
-        public void send(int replica, byte[] piece) {
-            datagram(self, replica, piece);
-            to.send(replica, piece);
+        public void send(int replica, byte[] payload) {
+            datagram(self, replica, payload);
+            to.send(replica, payload);
         }
 
         @Override
@@ -112,7 +112,7 @@
             FaultStorm.Result result =
                     FaultStorm.play(
                             seed,
-                            (zones, self, incarnation, settings, store, random, outlet, now) ->
+                            (zones, self, incarnation, settings, store, random, actions, now) ->
                                     new RaftNode(
                                             zones,
                                             self,
@@ -120,7 +120,7 @@
                                             settings,
                                             store,
                                             random,
-                                            new RecordingActions(self, outlet),
+                                            new RecordingActions(self, actions),
                                             now));
             lines.append(
                     seed
--- a/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
+++ b/lab/src/test/java/cedarrudder/lab/coordination/CoordinationSimulationTest.java
@@ -78,13 +78,13 @@
         public void onLeadership(long now, boolean leads) {}
     }
 
-    private CoordinatedReplica make(
+    private CoordinatedReplica createReplica(
             int[] zones,
             int self,
             long incarnation,
             StableStorage store,
             RandomGenerator random,
-            CoordinatedReplica.Actions outlet,
+            CoordinatedReplica.Actions actions,
             long now) {
         return new CoordinatedReplica(
                 zones,
@@ -97,7 +97,7 @@
                 new SpillPlan(),
                 DrainCoordination.NONE,
                 () -> new RouteTableCapacity(self == 3 ? routeCapacity : Integer.MAX_VALUE, 10, 10),
-                outlet,
+                actions,
                 now);
     }
 
@@ -111,7 +111,7 @@
                         network,
                         disks,
                         seed,
-                        this::make,
+                        this::createReplica,
                         events::add);
         simulation.form(0);
         simulation.play(15 * SECOND);
@@ -270,7 +270,7 @@
     public void answersToThePreviousProcessExtendNoLease() {
         CoordinationSimulation simulation =
                 new CoordinationSimulation(
-                        new int[] {0, 1, 2, 0, 1}, CALM, true, 9, this::make, events::add);
+                        new int[] {0, 1, 2, 0, 1}, CALM, true, 9, this::createReplica, events::add);
         List<byte[]> grants = new ArrayList<>();
         simulation.filter(
                 (from, to, datagram) -> {
@@ -295,7 +295,9 @@
         simulation.restart(2);
         for (int i = 0; i < 10; i++) {
             simulation.play(300 * MILLI);
-            assertNotNull(simulation.view(2).status(0).agreedTable(), "it has no disk");
+            assertNotNull(
+                    simulation.view(2).status(0).agreedTable(),
+                    "the replica did not restore a table from its disk");
             grants.subList(0, 20).forEach(each -> simulation.inject(2, 0, each));
         }
         assertNull(simulation.uses(2));
