--- a/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
+++ b/lab/src/main/java/cedarrudder/lab/coordination/CoordinationSimulation.java
@@ -36,10 +36,7 @@
     private static final long SECOND = 1_000_000_000L;
     private static final long HOUR = 3_600 * SECOND;
 
-    /**
-     * Creates a coordinated replica, with its traffic and drain coordination and its route table
-     * capacity.
-     */
+    /** Creates a replica with its traffic and drain coordination and its table capacity. */
     public interface ReplicaFactory {
         CoordinatedReplica create(
                 int[] zones,
@@ -51,18 +48,14 @@
                 long now);
     }
 
-    /**
-     * Returns a factory of replicas that route no traffic between zones and whose capacity fits any
-     * route table.
-     */
-    public static ReplicaFactory plain(
-            ConsensusSettings consensusSettings, CoordinationSettings settings) {
+    /** Returns a factory of replicas that keep traffic in its zone and load any route table. */
+    public static ReplicaFactory plain(ConsensusSettings consensus, CoordinationSettings settings) {
         return (zones, self, incarnation, store, random, actions, now) ->
                 new CoordinatedReplica(
                         zones,
                         self,
                         incarnation,
-                        consensusSettings,
+                        consensus,
                         settings,
                         store,
                         random,
@@ -223,8 +216,6 @@
                                 false));
     }
 
-    // ---- time ----
-
     /** Returns the current instant, in nanoseconds. */
     public long now() {
         return time.now();
@@ -295,10 +286,7 @@
         updateLiveness();
     }
 
-    /**
-     * Reports to each replica which others it can reach, as a perfect and immediate membership
-     * service would.
-     */
+    /** Reports to each replica which others it can reach, at once and without errors. */
     private void updateLiveness() {
         for (Host host : hosts) {
             for (Host other : hosts) {
@@ -319,12 +307,7 @@
         host.run(host.process(), () -> host.replica.formGroup(host.ownTime()));
     }
 
-    /**
-     * Proposes a command at a replica, as an operator would. Returns false if the replica does not
-     * run or does not accept it.
-     *
-     * @param patience how long the replica waits for the outcome, in nanoseconds
-     */
+    /** Proposes a command as an operator would; false if the replica is down or rejects it. */
     public boolean propose(int number, byte[] command, long patience) {
         Host host = hosts.get(number);
         Proposal[] proposed = new Proposal[1];
@@ -334,10 +317,7 @@
         return proposed[0] != null;
     }
 
-    /**
-     * Returns the outcomes of all proposals made at a replica, in the order in which they were
-     * reported.
-     */
+    /** Returns the outcomes of a replica's proposals, in the order in which they were reported. */
     public List<ProposalOutcome> settled(int number) {
         return hosts.get(number).settled;
     }
@@ -412,10 +392,7 @@
         return used.size() == 1 && !used.containsKey(null);
     }
 
-    /**
-     * Returns the number of bytes that one host has sent, over all its incarnations, without the
-     * headers of lower layers.
-     */
+    /** Returns the bytes that a host has sent, without the headers of lower layers. */
     public long bytes(int number) {
         return hosts.get(number).bytes;
     }
