--- a/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
+++ b/lab/src/test/java/cedarrudder/consensus/BrokenConsensusTest.java
@@ -20,8 +20,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Programs that lack one rule each: the judge finds it, or a measure shows it. Seeds are fixed: the
- * verdict is the same.
+ * Variants of the consensus algorithm that each lack one safety rule: an invariant check or a
+ * measurement has to show the fault. Seeds are fixed, so the results are reproducible.
  */
 public class BrokenConsensusTest {
 
@@ -30,17 +30,28 @@
     private static final ConsensusSimulation.Network CALM =
             new ConsensusSimulation.Network(0, 0, 0, 2 * MILLI, 21 * MILLI);
 
-    private static ConsensusSimulation.Maker with(SafetyRules conduct) {
-        return (zones, self, incarnation, settings, store, random, outlet, now) ->
+    private static ConsensusSimulation.NodeFactory with(SafetyRules safetyRules) {
+        return (zones, self, incarnation, settings, store, random, actions, now) ->
                 new RaftNode(
-                        zones, self, incarnation, settings, store, random, outlet, now, conduct);
+                        zones,
+                        self,
+                        incarnation,
+                        settings,
+                        store,
+                        random,
+                        actions,
+                        now,
+                        safetyRules);
     }
 
-    /** The rules that seeds break, up to the first seed that breaks one of these. */
-    private static Set<String> broken(SafetyRules conduct, int seeds, String... wanted) {
+    /**
+     * Returns the invariants that the seeds violate, up to the first seed that violates one of
+     * those in {@code wanted}.
+     */
+    private static Set<String> violatedRules(SafetyRules safetyRules, int seeds, String... wanted) {
         Set<String> rules = new HashSet<>();
         for (long seed = 1; seed <= seeds && Collections.disjoint(rules, List.of(wanted)); seed++) {
-            FaultStorm.play(seed, with(conduct))
+            FaultStorm.play(seed, with(safetyRules))
                     .breaches()
                     .forEach(breach -> rules.add(breach.rule()));
         }
@@ -48,12 +59,12 @@
     }
 
     @Test
-    public void oneThatForgotVotesUnderItsNewLife() {
+    public void withoutTheVoteRuleARestartedVoterBreaksSafety() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
-                            boolean mayVote(boolean sworn, boolean seated) {
+                            boolean mayVote(boolean admitted, boolean inVoterSet) {
                                 return true;
                             }
                         },
@@ -62,11 +73,14 @@
         assertTrue(rules.contains("A2"), rules.toString());
     }
 
-    /** What is handed on again, since the leader's answer was lost, would count twice. */
+    /**
+     * A proposal that is forwarded again, since the answer of the leader was lost, would take
+     * effect twice.
+     */
     @Test
-    public void aProposalHandedOnTwiceTakesEffectTwice() {
+    public void withoutDeduplicationAProposalForwardedTwiceTakesEffectTwice() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
                             boolean mayTakeEffect(boolean isNew) {
@@ -79,12 +93,13 @@
     }
 
     /**
-     * What lay unread for as long as a replica stood still would make a contact as much younger.
+     * Datagrams that wait while a replica is paused would make a leader contact seem younger, by as
+     * long as they waited.
      */
     @Test
-    public void aContactThatCountsFromItsArrivalIsTooYoung() {
+    public void aLeaderContactCountedFromArrivalIsTooYoung() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
                             long contactCountsFrom(long askedAt, long answeredAt) {
@@ -96,12 +111,15 @@
         assertTrue(rules.contains("contact"), rules.toString());
     }
 
-    /** Clocks that differ by 2 in 1,000, and a contact that stays the last for 40 minutes. */
+    /**
+     * Clock rates differ by 2 in 1,000, and the same leader contact stays the last one for 40
+     * minutes.
+     */
     @Test
-    public void withoutTheDriftAContactThatIsHandedOnIsTooYoung() {
-        assertEquals(handedOnForMinutes(new SafetyRules()), Set.of());
+    public void withoutTheDriftAllowanceARelayedLeaderContactIsTooYoung() {
+        assertEquals(violationsWhenAContactIsRelayedForMinutes(new SafetyRules()), Set.of());
         assertEquals(
-                handedOnForMinutes(
+                violationsWhenAContactIsRelayedForMinutes(
                         new SafetyRules() {
                             @Override
                             long withClockDrift(long nanos) {
@@ -111,9 +129,9 @@
                 Set.of("contact"));
     }
 
-    private static Set<String> handedOnForMinutes(SafetyRules conduct) {
+    private static Set<String> violationsWhenAContactIsRelayedForMinutes(SafetyRules safetyRules) {
         List<HistoryEvent> events = new ArrayList<>();
-        ConsensusSimulation simulation = started(10, false, conduct, events);
+        ConsensusSimulation simulation = started(10, false, safetyRules, events);
         for (Voter voter : simulation.view(simulation.leader()).voters().all()) {
             simulation.kill(voter.replica());
         }
@@ -126,17 +144,18 @@
             }
             simulation.play(600 * SECOND);
         }
-        return judged(simulation, events);
+        return violations(simulation, events);
     }
 
     /**
-     * One datagram with a peer's address that names a higher group, or a later life of that peer.
+     * A forged datagram with a peer's address that names a higher group or a later incarnation of
+     * that peer.
      */
     @Test
-    public void aForgedDatagramMovesNobody() {
-        assertTrue(staysAfterForgeries(new SafetyRules()));
+    public void aForgedDatagramChangesNoGroupAndNoIncarnation() {
+        assertTrue(commitsInTheSameGroupAfterForgeries(new SafetyRules()));
         assertTrue(
-                !staysAfterForgeries(
+                !commitsInTheSameGroupAfterForgeries(
                         new SafetyRules() {
                             @Override
                             boolean acceptsHigherGroupOrIncarnation(boolean answered) {
@@ -145,8 +164,8 @@
                         }));
     }
 
-    private static boolean staysAfterForgeries(SafetyRules conduct) {
-        ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
+    private static boolean commitsInTheSameGroupAfterForgeries(SafetyRules safetyRules) {
+        ConsensusSimulation simulation = started(5, false, safetyRules, new ArrayList<>());
         VoterGroup group = simulation.view(0).group();
         long incarnation = simulation.view(1).incarnation();
         for (int i = 0; i < 100; i++) {
@@ -181,11 +200,11 @@
     }
 
     /**
-     * The plain paper without a disk: the replica says that it is who it was, and remembers no vote
-     * and no entry.
+     * Raft as in the paper, but without a disk: the replica claims its former incarnation, and has
+     * lost its vote and its entries.
      */
     @Test
-    public void oneThatForgotVotesAsIfItRemembered() {
+    public void aVoterThatLostItsStateButClaimsItsOldIncarnationBreaksSafety() {
         List<HistoryEvent> events = new ArrayList<>();
         ConsensusSimulation simulation = started(5, false, new SafetyRules(), events);
         int leader = simulation.leader();
@@ -196,13 +215,13 @@
         for (Voter voter : voters.all()) {
             simulation.kill(voter.replica());
             simulation.pretend(
-                    voter.replica(), voter.incarnation(), pretending(group, voter, voters));
+                    voter.replica(), voter.incarnation(), storageClaiming(group, voter, voters));
         }
         simulation.play(5 * SECOND);
-        assertTrue(judged(simulation, events).contains("A2"), events.toString());
+        assertTrue(violations(simulation, events).contains("A2"), events.toString());
     }
 
-    static StableStorage pretending(VoterGroup group, Voter voter, VoterSet voters) {
+    static StableStorage storageClaiming(VoterGroup group, Voter voter, VoterSet voters) {
         return new StableStorage() {
             @Override
             public Recovered recovered() {
@@ -213,7 +232,7 @@
             }
 
             @Override
-            public void writeHardState(HardState promise) {}
+            public void writeHardState(HardState next) {}
 
             @Override
             public void append(long index, LogEntry entry) {}
@@ -230,17 +249,17 @@
     }
 
     @Test
-    public void piecesOfDifferentMessagesMix() {
+    public void withoutTheFragmentChecksFragmentsOfDifferentMessagesMix() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
-                            boolean isSameMessage(MessageFragment held, MessageFragment other) {
-                                return held.count() == other.count();
+                            boolean isSameMessage(MessageFragment buffered, MessageFragment other) {
+                                return buffered.count() == other.count();
                             }
 
                             @Override
-                            boolean isIntact(MessageFragment held, byte[] message) {
+                            boolean isIntact(MessageFragment buffered, byte[] message) {
                                 return true;
                             }
                         },
@@ -250,9 +269,9 @@
     }
 
     @Test
-    public void aNewGroupUsesNumbersAgain() {
+    public void withoutUniqueGroupsANewGroupBreaksSafety() {
         Set<String> rules =
-                broken(
+                violatedRules(
                         new SafetyRules() {
                             @Override
                             VoterGroup nextGroup(VoterGroup known, Voter founder) {
@@ -266,14 +285,14 @@
     }
 
     /**
-     * Figure 8 of the paper: an entry of an earlier term, counted on a majority, is overwritten
-     * after all.
+     * Figure 8 of the Raft paper: an entry of an earlier term that is stored on a majority is
+     * overwritten later.
      */
     @Test
-    public void anEntryOfAnEarlierTermIsCommittedByCounting() {
-        assertEquals(figureEight(new SafetyRules()), Set.of());
+    public void committingAnEntryOfAnEarlierTermByCountingBreaksSafety() {
+        assertEquals(violationsInFigureEight(new SafetyRules()), Set.of());
         Set<String> rules =
-                figureEight(
+                violationsInFigureEight(
                         new SafetyRules() {
                             @Override
                             boolean mayCommitByCounting(long entryTerm, long term) {
@@ -283,13 +302,13 @@
         assertTrue(rules.contains("A1"), rules.toString());
     }
 
-    private static Set<String> figureEight(SafetyRules conduct) {
+    private static Set<String> violationsInFigureEight(SafetyRules safetyRules) {
         List<HistoryEvent> events = new ArrayList<>();
-        ConsensusSimulation simulation = started(5, true, conduct, events);
+        ConsensusSimulation simulation = started(5, true, safetyRules, events);
         int first = simulation.leader();
         int second = (first + 1) % 5;
-        apart(simulation, first, second);
-        // As large as a batch: the entry after it goes in another message.
+        isolate(simulation, first, second);
+        // As large as a batch, so that the entry after it is sent in another message.
         assertNotNull(simulation.propose(first, new byte[LogReplication.MAX_BATCH_BYTES]));
         simulation.play(700 * MILLI);
         simulation.kill(first);
@@ -300,9 +319,9 @@
             simulation.play(MILLI);
         }
         int third = simulation.leader();
-        apart(simulation, third, third);
+        isolate(simulation, third, third);
         simulation.kill(third);
-        // What it sent is lost with the links.
+        // The datagrams in flight from it are lost, since its links are cut.
         simulation.play(30 * MILLI);
         simulation.heal();
         simulation.restart(first);
@@ -311,14 +330,14 @@
         while (simulation.leadsSince() < before) {
             simulation.play(MILLI);
         }
-        int leads = simulation.leader();
-        long loaded = simulation.view(leads).appliedPosition().index();
+        int newLeader = simulation.leader();
+        long appliedIndex = simulation.view(newLeader).appliedPosition().index();
         for (int i = 0;
-                i < 1_000 && simulation.view(leads).appliedPosition().index() == loaded;
+                i < 1_000 && simulation.view(newLeader).appliedPosition().index() == appliedIndex;
                 i++) {
             simulation.play(MILLI);
         }
-        apart(simulation, first, second);
+        isolate(simulation, first, second);
         simulation.restart(third);
         simulation.play(8 * SECOND);
         if (simulation.leader() >= 0) {
@@ -329,11 +348,11 @@
         simulation.play(8 * SECOND);
         simulation.propose(simulation.leader(), new byte[10]);
         simulation.play(4 * SECOND);
-        return judged(simulation, events);
+        return violations(simulation, events);
     }
 
-    /** Nothing passes between these two and the others. */
-    private static void apart(ConsensusSimulation simulation, int one, int other) {
+    /** Cuts all links between these two replicas and the others. */
+    private static void isolate(ConsensusSimulation simulation, int one, int other) {
         for (int i = 0; i < simulation.size(); i++) {
             for (int inside : new int[] {one, other}) {
                 if (i != one && i != other) {
@@ -344,12 +363,15 @@
         }
     }
 
-    /** Terms that pass while one voter is cut off for 3 s each 6 s; each deposes a leader. */
+    /**
+     * Counts the terms while one voter is cut off for 3 s in every 6 s; each new term deposes a
+     * leader.
+     */
     @Test
-    public void withoutAskingAheadACutOffVoterDisturbs() {
-        long with = termsOfACutOffVoter(new SafetyRules());
+    public void withoutPreVoteAVoterThatIsCutOffDeposesLeaders() {
+        long with = termsWhileAVoterIsCutOffRepeatedly(new SafetyRules());
         long without =
-                termsOfACutOffVoter(
+                termsWhileAVoterIsCutOffRepeatedly(
                         new SafetyRules() {
                             @Override
                             boolean requiresPreVote() {
@@ -360,12 +382,12 @@
         assertTrue(without >= 10, "terms " + without);
     }
 
-    private static long termsOfACutOffVoter(SafetyRules conduct) {
-        ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
+    private static long termsWhileAVoterIsCutOffRepeatedly(SafetyRules safetyRules) {
+        ConsensusSimulation simulation = started(5, false, safetyRules, new ArrayList<>());
         long term = simulation.view(simulation.leader()).term();
         for (int round = 0; round < 5; round++) {
             int voter = (simulation.leader() + 1) % 5;
-            apart(simulation, voter, voter);
+            isolate(simulation, voter, voter);
             simulation.play(3 * SECOND);
             simulation.heal();
             simulation.play(3 * SECOND);
@@ -373,12 +395,15 @@
         return simulation.view(simulation.leader()).term() - term;
     }
 
-    /** A leader that speaks and hears nobody: it has to go, or nothing is ever committed. */
+    /**
+     * A leader whose datagrams arrive but that receives none has to step down, or nothing is ever
+     * committed.
+     */
     @Test
-    public void withoutStepDownADeafLeaderStopsAll() {
-        assertTrue(commitsPastADeafLeader(new SafetyRules()));
+    public void withoutStepDownALeaderThatReceivesNothingBlocksCommits() {
+        assertTrue(commitsAfterTheLeaderReceivesNothing(new SafetyRules()));
         assertTrue(
-                !commitsPastADeafLeader(
+                !commitsAfterTheLeaderReceivesNothing(
                         new SafetyRules() {
                             @Override
                             boolean hasLostQuorum(long sinceMajority, long max) {
@@ -387,20 +412,20 @@
                         }));
     }
 
-    private static boolean commitsPastADeafLeader(SafetyRules conduct) {
-        ConsensusSimulation simulation = started(5, false, conduct, new ArrayList<>());
-        int deaf = simulation.leader();
-        IntStream.range(0, 5).forEach(i -> simulation.cut(i, deaf, i != deaf));
+    private static boolean commitsAfterTheLeaderReceivesNothing(SafetyRules safetyRules) {
+        ConsensusSimulation simulation = started(5, false, safetyRules, new ArrayList<>());
+        int isolatedLeader = simulation.leader();
+        IntStream.range(0, 5).forEach(i -> simulation.cut(i, isolatedLeader, i != isolatedLeader));
         simulation.play(4 * SECOND);
         LogPosition number = simulation.propose(simulation.leader(), new byte[8]);
         simulation.play(4 * SECOND);
         return IntStream.range(0, 5)
-                .filter(i -> i != deaf)
+                .filter(i -> i != isolatedLeader)
                 .allMatch(i -> simulation.view(i).appliedPosition().compareTo(number) >= 0);
     }
 
     private static ConsensusSimulation started(
-            int size, boolean disks, SafetyRules conduct, List<HistoryEvent> events) {
+            int size, boolean disks, SafetyRules safetyRules, List<HistoryEvent> events) {
         ConsensusSimulation simulation =
                 new ConsensusSimulation(
                         size,
@@ -409,7 +434,7 @@
                         disks,
                         8,
                         1,
-                        with(conduct),
+                        with(safetyRules),
                         events::add);
         simulation.form(0);
         simulation.play(12 * SECOND);
@@ -417,7 +442,8 @@
         return simulation;
     }
 
-    private static Set<String> judged(ConsensusSimulation simulation, List<HistoryEvent> events) {
+    private static Set<String> violations(
+            ConsensusSimulation simulation, List<HistoryEvent> events) {
         Set<String> rules = new HashSet<>();
         History.judged(
                         events,
