--- a/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdBudgetTest.java
@@ -29,7 +29,7 @@
     void replicasTogetherStayWithinTheBound(int replicas, int endpoints) {
         double[] few = replicas < 500 ? new double[] {0, 1} : new double[] {1};
         for (double cold : PRINT_TABLES ? new double[] {0, 0.5, 0.9, 1} : few) {
-            play(
+            runScenarios(
                     ColdFleet.FIRST,
                     replicas,
                     endpoints,
@@ -46,7 +46,7 @@
     void replicasStayWithinTheBoundInOtherDeployments(int replicas, int endpoints) {
         for (Deployment deployment : ColdFleet.OTHERS) {
             for (double cold : PRINT_TABLES ? new double[] {0, 0.5, 1} : new double[] {0, 1}) {
-                play(
+                runScenarios(
                         deployment,
                         replicas,
                         endpoints,
@@ -56,7 +56,7 @@
         }
     }
 
-    private static void play(
+    private static void runScenarios(
             Deployment deployment, int replicas, int endpoints, double cold, double[] loads) {
         World world = null;
         Observation worst = null;
--- a/core/src/test/java/cedarrudder/balancer/ColdFleet.java
+++ b/core/src/test/java/cedarrudder/balancer/ColdFleet.java
@@ -288,7 +288,7 @@
                                     BalancerSettings.Idempotency.SAFE,
                                     BalancerSettings.KeyScope.ALL,
                                     latencyObjective,
-                                    deadlineTimeout,
+                                    requestTimeout,
                                     1,
                                     0,
                                     Site.SECOND,
@@ -315,8 +315,8 @@
             balancer.onEndpoints(now, EndpointListKind.CACHED, endpointList);
         }
 
-        void call(long id, int retries, double work) {
-            long until = now + deadlineTimeout;
+        void sendRequest(long id, int retries, double work) {
+            long until = now + requestTimeout;
             deadlines.put(id, until);
             retriesLeft.put(id, retries);
             workOf.put(id, work);
@@ -433,7 +433,7 @@
     private final double meanWork;
 
     private final long latencyObjective;
-    private final long deadlineTimeout;
+    private final long requestTimeout;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
@@ -461,7 +461,7 @@
         this.safety = world.deployment.safety;
         this.meanWork = world.deployment.cores * Site.SECOND / world.capacity;
         this.latencyObjective = (long) (10 * meanWork);
-        this.deadlineTimeout = 5 * latencyObjective / 2;
+        this.requestTimeout = 5 * latencyObjective / 2;
         for (long id = world.cold + 1; id <= world.endpoints; id++) {
             start(id, 0);
         }
@@ -571,7 +571,7 @@
             at = random.nextInt(weights.length);
         } while (random.nextDouble() * 4 > weights[at] || replicas.get(at).killed);
         boolean second = replicas.size() > weights.length && random.nextBoolean();
-        replicas.get(second ? at + weights.length : at).call(++lastRequest, retries, work);
+        replicas.get(second ? at + weights.length : at).sendRequest(++lastRequest, retries, work);
     }
 
     private void disturb() {
--- a/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
+++ b/core/src/test/java/cedarrudder/balancer/DiscoveryPollScheduleTest.java
@@ -79,7 +79,7 @@
         private boolean randomDelay;
         private int connections;
         private int unanswered;
-        private final List<Long> calls = new ArrayList<>();
+        private final List<Long> requestTimes = new ArrayList<>();
 
         World(long seed, int replicas, int perSecond, boolean polls) {
             this.random = new SplittableRandom(seed);
@@ -112,7 +112,7 @@
             for (Replica replica : replicas) {
                 List<Integer> open = List.copyOf(replica.open);
                 if (closesWatches(next)) {
-                    open.forEach(replica::callBroke);
+                    open.forEach(replica::failCall);
                 } else if (next != Discovery.WELL) {
                     replica.open.clear(); // nothing arrives on them any more
                 }
@@ -122,7 +122,7 @@
         /** Counts the requests in consecutive intervals of the given length from an instant on. */
         int[] counts(long from, long each, int times) {
             int[] counts = new int[times];
-            calls.stream()
+            requestTimes.stream()
                     .filter(at -> at >= from && at < from + times * each)
                     .forEach(at -> counts[(int) ((at - from) / each)]++);
             return counts;
@@ -203,10 +203,11 @@
             @Override
             public void open(int call) {
                 open.add(call);
-                Connection link = spare != null && spare.isUsable() ? spare : new Connection();
+                Connection connection =
+                        spare != null && spare.isUsable() ? spare : new Connection();
                 spare = null;
-                link.call = call;
-                link.send();
+                connection.call = call;
+                connection.send();
             }
 
             @Override
@@ -251,8 +252,8 @@
 
                 private void send() {
                     if (open.contains(call) && failed) {
-                        calls.add(now);
-                        callBroke(call);
+                        requestTimes.add(now);
+                        failCall(call);
                     } else if (open.contains(call) && up) {
                         schedule.onConnected(call);
                         at(now + WIRE, () -> requestArrives(call));
@@ -261,24 +262,24 @@
             }
 
             private void requestArrives(int call) {
-                calls.add(now);
+                requestTimes.add(now);
                 if (state == Discovery.SILENT || state == Discovery.CUT || unanswered-- > 0) {
                     return;
                 }
                 long startsAt = Math.max(now, workerFreeAt);
                 if (state != Discovery.WELL || refusals-- > 0) {
-                    at(now + WIRE, () -> callBroke(call));
+                    at(now + WIRE, () -> failCall(call));
                     return;
                 }
                 if (startsAt - now > S) {
-                    at(now + S + WIRE, () -> callBroke(call));
+                    at(now + S + WIRE, () -> failCall(call));
                     return;
                 }
                 workerFreeAt = startsAt + S / perSecond;
                 at(workerFreeAt + WIRE, () -> update(call));
             }
 
-            private void callBroke(int call) {
+            private void failCall(int call) {
                 if (open.remove(call)) {
                     schedule.onCallFailed(now, call);
                 }
@@ -289,7 +290,7 @@
                     return;
                 }
                 if (state != Discovery.WELL) {
-                    callBroke(call);
+                    failCall(call);
                     return;
                 }
                 schedule.onUpdate(now, call);
@@ -349,7 +350,7 @@
                     world.connections; // including spare connections, where the start makes
             // replicas wait
             world.run(600 * S);
-            assertEquals(world.calls.size(), 200);
+            assertEquals(world.requestTimes.size(), 200);
             assertEquals(world.connections, connections);
         }
     }
@@ -474,7 +475,7 @@
         world.connectionDelay = MAX_DELAY;
         World.Replica replica = world.replicas.get(0);
         if (outage == Discovery.WELL) {
-            replica.callBroke(replica.open.iterator().next());
+            replica.failCall(replica.open.iterator().next());
         } else {
             world.setState(outage);
             world.run(world.now + world.random.nextLong(100 * MS, 20 * S));
@@ -724,20 +725,20 @@
         System.out.println(
                 "| replicas | trouble | max requests in 1 s | in 10 s | in 60 s | updated after |");
         for (int replicas : new int[] {1, 100, 500}) {
-            play(replicas, "all watches silent", Discovery.WELL, 0);
-            play(replicas, "the same, after one update for all", Discovery.WELL, 0);
-            play(replicas, "discovery down for 8 s", Discovery.DOWN, 8);
-            play(replicas, "discovery down for 30 s", Discovery.DOWN, 30);
-            play(replicas, "discovery silent for 8 s", Discovery.SILENT, 8);
-            play(replicas, "discovery silent for 30 s", Discovery.SILENT, 30);
-            play(replicas, "discovery refuses for 8 s", Discovery.BUSY, 8);
-            play(replicas, "discovery refuses for 30 s", Discovery.BUSY, 30);
-            play(replicas, "discovery cut off for 8 s", Discovery.CUT, 8);
-            play(replicas, "discovery cut off for 30 s", Discovery.CUT, 30);
+            simulate(replicas, "all watches silent", Discovery.WELL, 0);
+            simulate(replicas, "the same, after one update for all", Discovery.WELL, 0);
+            simulate(replicas, "discovery down for 8 s", Discovery.DOWN, 8);
+            simulate(replicas, "discovery down for 30 s", Discovery.DOWN, 30);
+            simulate(replicas, "discovery silent for 8 s", Discovery.SILENT, 8);
+            simulate(replicas, "discovery silent for 30 s", Discovery.SILENT, 30);
+            simulate(replicas, "discovery refuses for 8 s", Discovery.BUSY, 8);
+            simulate(replicas, "discovery refuses for 30 s", Discovery.BUSY, 30);
+            simulate(replicas, "discovery cut off for 8 s", Discovery.CUT, 8);
+            simulate(replicas, "discovery cut off for 30 s", Discovery.CUT, 30);
         }
     }
 
-    private static void play(int replicas, String trouble, Discovery state, int seconds) {
+    private static void simulate(int replicas, String trouble, Discovery state, int seconds) {
         World world = new World(7, replicas, replicas / 10 + 60, true);
         world.run(30 * S);
         long from = world.now;
--- a/core/src/test/java/cedarrudder/balancer/RulesTest.java
+++ b/core/src/test/java/cedarrudder/balancer/RulesTest.java
@@ -22,7 +22,7 @@
     private static final int MAX_SEEDS_TO_CATCH = 60;
 
     /** Runs a seed; a failure names the seed and the number of events after which it occurs. */
-    private static RulesWorld play(long seed, Fault fault) {
+    private static RulesWorld runSeed(long seed, Fault fault) {
         RulesWorld world = new RulesWorld(seed, fault);
         try {
             world.run(REQUESTS);
@@ -45,7 +45,7 @@
     /** Random histories that are legal but unusual must break no rule. */
     @Test(dataProvider = "seeds")
     public void rulesHoldUnderRandomEvents(long seed) {
-        RulesWorld world = play(seed, Fault.NONE);
+        RulesWorld world = runSeed(seed, Fault.NONE);
         assertTrue(world.served() > REQUESTS / 8, "served " + world.served());
     }
 
@@ -53,7 +53,8 @@
     @Test
     public void sameSeedGivesSameActions() {
         for (long seed = 1; seed <= 3; seed++) {
-            assertEquals(play(seed, Fault.NONE).transcript(), play(seed, Fault.NONE).transcript());
+            assertEquals(
+                    runSeed(seed, Fault.NONE).transcript(), runSeed(seed, Fault.NONE).transcript());
         }
     }
 
@@ -71,7 +72,7 @@
         String failure = "nothing";
         for (long seed = 1; seed <= MAX_SEEDS_TO_CATCH && !failure.contains(fault.rule); seed++) {
             try {
-                play(seed, fault);
+                runSeed(seed, fault);
             } catch (AssertionError e) {
                 failure = e.getMessage();
             }
--- a/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
+++ b/core/src/test/java/cedarrudder/balancer/ZoneTrafficShareTest.java
@@ -71,8 +71,8 @@
         return all;
     }
 
-    private void setShares(ZoneTrafficShare... setShares) {
-        balancer.onZoneShares(now, List.of(setShares));
+    private void setShares(ZoneTrafficShare... shares) {
+        balancer.onZoneShares(now, List.of(shares));
     }
 
     private static ZoneTrafficShare share(int zone, int parts) {
@@ -104,9 +104,9 @@
      * with a timeout.
      */
     private void answerProbes(LongPredicate isHealthy) {
-        List<Long> out = List.copyOf(recorder.probed);
+        List<Long> outstanding = List.copyOf(recorder.probed);
         recorder.probed.clear();
-        for (long endpoint : out) {
+        for (long endpoint : outstanding) {
             boolean healthy = isHealthy.test(endpoint);
             balancer.onProbeEnded(
                     now,
