--- a/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FaultScenarioTest.java
@@ -318,7 +318,7 @@
                                 .with(
                                         "\"dial-timeout-ns\": 120000000",
                                         "\"dial-timeout-ns\": 60000000000");
-                ProxyHarness.FullNode full = harness.new FullNode(0)) {
+                ProxyHarness.FullQueueEndpoint full = harness.new FullQueueEndpoint(0)) {
             harness.start();
             try (Client client = harness.client()) {
                 client.send(ProxyHarness.request("order", "/api", "x"));
--- a/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
+++ b/daemon/src/test/java/cedarrudder/program/FirstByteScenarioTest.java
@@ -5,7 +5,7 @@
 
 import cedarrudder.balancer.Await;
 import cedarrudder.program.ProxyHarness.Client;
-import cedarrudder.program.ProxyHarness.FullNode;
+import cedarrudder.program.ProxyHarness.FullQueueEndpoint;
 import cedarrudder.program.ProxyHarness.Received;
 import cedarrudder.protocol.JsonObject;
 import java.io.IOException;
@@ -79,7 +79,7 @@
     public void aLateConnectionIsNotUsedForAClientThatDisconnected(boolean cancel)
             throws Exception {
         try (ProxyHarness harness = harness(1).with("\"cancel\": true", "\"cancel\": " + cancel);
-                FullNode full = harness.new FullNode(0)) {
+                FullQueueEndpoint full = harness.new FullQueueEndpoint(0)) {
             harness.start();
             try (Client disconnecting = harness.client()) {
                 disconnecting.send(request("order", "leaves"));
@@ -103,9 +103,9 @@
         int many = 4;
         try (ProxyHarness harness =
                 harness(many).with("\"cancel\": true", "\"cancel\": " + cancel)) {
-            List<FullNode> full = new ArrayList<>();
+            List<FullQueueEndpoint> full = new ArrayList<>();
             for (int i = 0; i < many; i++) {
-                full.add(harness.new FullNode(i));
+                full.add(harness.new FullQueueEndpoint(i));
             }
             harness.start();
             List<Client> clients = new ArrayList<>();
@@ -118,7 +118,7 @@
             }
             awaitOpen(harness, 0);
             assertEquals(leftCount(harness, "order"), 2 * many);
-            for (FullNode node : full) {
+            for (FullQueueEndpoint node : full) {
                 node.open();
             }
             Await.until("late connections", () -> connections(full) >= 2 * many);
@@ -129,7 +129,7 @@
                 }
             }
             assertTrue(harness.requests.isEmpty());
-            for (FullNode node : full) {
+            for (FullQueueEndpoint node : full) {
                 node.close();
             }
         }
@@ -168,7 +168,7 @@
     public void noAttemptBeginsForAClientWhoseDisconnectCouldNotBeRead(boolean flows, boolean reset)
             throws Exception {
         try (ProxyHarness harness = harness(1);
-                FullNode full = harness.new FullNode(0)) {
+                FullQueueEndpoint full = harness.new FullQueueEndpoint(0)) {
             harness.start();
             Client disconnecting = harness.client().send(requestWithMuchBehind("leaves", flows));
             awaitOpen(harness, 1);
@@ -196,7 +196,7 @@
     public void aConnectedClientThatSentMuchAheadIsRejectedOnceAndThenServed() throws Exception {
         int behind = 2_000;
         try (ProxyHarness harness = harness(1);
-                FullNode full = harness.new FullNode(0)) {
+                FullQueueEndpoint full = harness.new FullQueueEndpoint(0)) {
             harness.start();
             try (Client client = harness.client()) {
                 client.send(
@@ -215,9 +215,9 @@
         }
     }
 
-    private static int connections(List<FullNode> full) throws Exception {
+    private static int connections(List<FullQueueEndpoint> full) throws Exception {
         int all = 0;
-        for (FullNode node : full) {
+        for (FullQueueEndpoint node : full) {
             all += node.awaitConnections(0).size();
         }
         return all;
@@ -331,7 +331,7 @@
     public void aLateConnectionToADrainingOrRemovedEndpointIsNotUsed(String how) throws Exception {
         try (ProxyHarness harness = harness(2)) {
             String[] entries = harness.entries("in_service").split("(?<=\\}),");
-            FullNode full = harness.new FullNode(0);
+            FullQueueEndpoint full = harness.new FullQueueEndpoint(0);
             harness.with("\"servers\": []", "\"servers\": [" + entries[0] + "]").start();
             Discovery discovery = new Discovery(harness);
             try (Client late = harness.client();
@@ -446,7 +446,7 @@
     @Test
     public void aRequestWithoutAConnectionByItsDeadlineIsRejected() throws Exception {
         try (ProxyHarness harness = harness(1);
-                FullNode full = harness.new FullNode(0)) {
+                FullQueueEndpoint full = harness.new FullQueueEndpoint(0)) {
             harness.start();
             try (Client client = harness.client()) {
                 client.send(
@@ -468,7 +468,7 @@
                                 "\"repeat-window-ns\": 5000000000",
                                 "\"repeat-window-ns\": 300000000")) {
             String[] entries = harness.entries("in_service").split("(?<=\\}),");
-            FullNode full = harness.new FullNode(1);
+            FullQueueEndpoint full = harness.new FullQueueEndpoint(1);
             harness.with("\"servers\": []", "\"servers\": [" + entries[0] + "]").start();
             Discovery discovery = new Discovery(harness);
             try (Client client = harness.client()) {
@@ -502,7 +502,7 @@
             throws Exception {
         for (boolean flows : new boolean[] {false, true}) {
             try (ProxyHarness harness = harness(1);
-                    FullNode full = harness.new FullNode(0)) {
+                    FullQueueEndpoint full = harness.new FullQueueEndpoint(0)) {
                 harness.start();
                 try (Client client = harness.client()) {
                     String chunked =
--- a/daemon/src/test/java/cedarrudder/program/ProxyHarness.java
+++ b/daemon/src/test/java/cedarrudder/program/ProxyHarness.java
@@ -185,14 +185,14 @@
      * An endpoint whose accept queue is full. Further connections are established after {@link
      * #open}, when the connecting kernel retransmits its SYN, which it does after 1, 3 and 7 s.
      */
-    final class FullNode implements Closeable {
+    final class FullQueueEndpoint implements Closeable {
         private static final int FULL_MILLIS = 500;
         private final int endpoint;
         private final ServerSocket server;
-        private final List<Socket> before = new ArrayList<>();
+        private final List<Socket> fillers = new ArrayList<>();
 
         /** Closes an endpoint and listens on its port instead. */
-        FullNode(int endpoint) throws IOException {
+        FullQueueEndpoint(int endpoint) throws IOException {
             this.endpoint = endpoint;
             nodes.get(endpoint).close();
             int port = nodes.get(endpoint).server.getLocalPort();
@@ -207,7 +207,7 @@
             try {
                 socket.connect(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port), FULL_MILLIS);
-                before.add(socket);
+                fillers.add(socket);
                 return true;
             } catch (SocketTimeoutException e) {
                 socket.close();
@@ -230,18 +230,18 @@
         }
 
         private List<Socket> others() {
-            List<Integer> fillers = before.stream().map(Socket::getLocalPort).toList();
+            List<Integer> fillerPorts = fillers.stream().map(Socket::getLocalPort).toList();
             return accepted.stream()
                     .filter(
                             s ->
                                     s.getLocalPort() == server.getLocalPort()
-                                            && !fillers.contains(s.getPort()))
+                                            && !fillerPorts.contains(s.getPort()))
                     .toList();
         }
 
         @Override
         public void close() throws IOException {
-            for (Socket socket : before) {
+            for (Socket socket : fillers) {
                 socket.close();
             }
             server.close();
