--- a/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
+++ b/core/src/main/java/cedarrudder/admission/AdaptiveConcurrencyLimit.java
@@ -15,7 +15,7 @@
     private final double cutFactor;
     private double limit = Integer.MAX_VALUE;
 
-    /** Whether a request was rejected since the limit was last raised. */
+    /** True if a request was rejected since the limit was last raised. */
     private boolean reached;
 
     /**
--- a/core/src/main/java/cedarrudder/balancer/OpenRequests.java
+++ b/core/src/main/java/cedarrudder/balancer/OpenRequests.java
@@ -11,7 +11,7 @@
  */
 final class OpenRequests {
 
-    /** Stands for an attempt number where there is no attempt. */
+    /** The attempt number that means no attempt. */
     static final int NO_ATTEMPT = -1;
 
     private final BalancerSettings.Limits limits;
--- a/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
+++ b/core/src/main/java/cedarrudder/budget/DownstreamFeedback.java
@@ -5,7 +5,7 @@
  *
  * @param attemptsSpent how many of the propagated further attempts were used; -1 if not given
  * @param reason the reason why the request was not served; {@link UnservedReason#UNKNOWN} also if
- *     it was
+ *     it was served
  * @param path the path that closes a loop; empty if there is none
  */
 public record DownstreamFeedback(int attemptsSpent, UnservedReason reason, HopPath path) {
--- a/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
+++ b/core/src/main/java/cedarrudder/budget/PriorityAdmission.java
@@ -20,7 +20,7 @@
     private static final double TOLERATED_OVERLOAD_FRACTION = 0.15;
 
     /**
-     * The minimum number of responses that are judged, over as many steps as that takes. With
+     * The minimum number of responses that are evaluated, over as many steps as that takes. With
      * fewer, a proxy with a few requests a second would reject those of the lowest priority because
      * one request reached a full endpoint.
      */
--- a/core/src/main/java/cedarrudder/budget/QuantileEstimator.java
+++ b/core/src/main/java/cedarrudder/budget/QuantileEstimator.java
@@ -35,7 +35,8 @@
     }
 
     /**
-     * Returns the number of values that estimates rest on; at most 512, however many were added.
+     * Returns the number of values that estimates are based on; at most 512, however many were
+     * added.
      */
     double count() {
         return total;
--- a/core/src/main/java/cedarrudder/budget/RequestBudget.java
+++ b/core/src/main/java/cedarrudder/budget/RequestBudget.java
@@ -21,13 +21,13 @@
     /** The number of attempts sent. */
     int attemptsSent;
 
-    /** Whether a response from the tier below reported that a retry is useless. */
+    /** True if a response from the tier below reported that a retry is useless. */
     boolean retriesStopped;
 
-    /** Whether a further attempt was denied. */
+    /** True if a further attempt was denied. */
     boolean retryDenied;
 
-    /** The reason that the last response with one gave for not serving the request. */
+    /** The latest reason for not serving the request that a response gave or implied. */
     UnservedReason downstreamReason = UnservedReason.UNKNOWN;
 
     /** The path that closes a loop; empty if there is none. */
--- a/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
+++ b/core/src/main/java/cedarrudder/consensus/ProposalForwarder.java
@@ -29,7 +29,7 @@
         final Proposal proposal;
         final long expiresAt;
 
-        /** Whether a leader may have received the proposal. */
+        /** True if a leader may have received the proposal. */
         boolean forwarded;
 
         PendingProposal(Proposal proposal, long expiresAt, boolean forwarded) {
--- a/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
+++ b/core/src/main/java/cedarrudder/coordination/TrafficCoordination.java
@@ -17,7 +17,7 @@
     List<byte[]> reportParts(long now);
 
     /**
-     * Handles, at the leader, a report part of another replica or of its own, which may be
+     * Handles, at the leader, a part of a report of another replica or of this one; the part may be
      * malformed.
      */
     void onReportPart(long now, int from, byte[] part);
--- a/core/src/main/java/cedarrudder/draining/DrainReport.java
+++ b/core/src/main/java/cedarrudder/draining/DrainReport.java
@@ -8,8 +8,8 @@
  *
  * @param version the version of the state that the replica has applied
  * @param firstSlot the lowest slot that the part covers
- * @param lastSlot the highest slot that the part covers: the replica has no requests in flight at
- *     nodes of open drains between the two that {@code inFlight} does not name
+ * @param lastSlot the highest slot that the part covers: from the lowest to this slot, the replica
+ *     has requests in flight only at those nodes of open drains that {@code inFlight} names
  * @param inFlight the requests in flight, by rising slot
  * @param disabled how many nodes an operator has disabled at this replica
  * @param disabledSample some of the disabled nodes
--- a/core/src/main/java/cedarrudder/draining/DrainSettings.java
+++ b/core/src/main/java/cedarrudder/draining/DrainSettings.java
@@ -18,7 +18,10 @@
     public static final DrainSettings DEFAULT =
             new DrainSettings(3 * SECOND, 10 * SECOND, SECOND, 2 * SECOND);
 
-    /** Checks that all are over 0; throws an IllegalArgumentException that names one that isn't. */
+    /**
+     * Checks that all values are over 0; throws an IllegalArgumentException that names a value that
+     * isn't.
+     */
     public DrainSettings {
         DrainPolicy.check(reportTimeout > 0, "patience", reportTimeout, "over 0");
         DrainPolicy.check(forgetAfter > 0, "forgets", forgetAfter, "over 0");
--- a/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
+++ b/core/src/main/java/cedarrudder/draining/DrainStateMachine.java
@@ -32,7 +32,7 @@
     private static final int MAX_ENDED = 256;
     private static final int ALL_POLICIES = -1;
 
-    /** Stands for an instant on the replicated clock where there is none. */
+    /** The value that means no instant on the replicated clock. */
     private static final long NEVER = -1;
 
     private final TreeMap<Integer, Drain> drains = new TreeMap<>();
--- a/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
+++ b/core/src/main/java/cedarrudder/draining/ReportedDrainProgress.java
@@ -171,7 +171,7 @@
 
     /**
      * Returns the nodes that are disabled at some live replica, or null if a live replica has not
-     * reported all of its own yet.
+     * reported all nodes that are disabled there yet.
      */
     Set<Long> disabled(long now) {
         Set<Long> all = new HashSet<>();
--- a/core/src/main/java/cedarrudder/draining/WavePlan.java
+++ b/core/src/main/java/cedarrudder/draining/WavePlan.java
@@ -32,7 +32,7 @@
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Stands for the index of a policy where no policy sets the bound. */
+    /** The policy index that means that no policy sets the bound. */
     private static final int NO_POLICY = -1;
 
     private final long now;
--- a/core/src/main/java/cedarrudder/failover/FailoverSettings.java
+++ b/core/src/main/java/cedarrudder/failover/FailoverSettings.java
@@ -9,10 +9,10 @@
  * @param regions which zones make a region
  * @param evacuatedZones zones that operators evacuate, by name: their requests go to other zones as
  *     far as those have capacity
- * @param period between two reports of a replica; from 10 ms
+ * @param period time between two reports of a replica; from 10 ms
  * @param evidenceAge observations older than this do not count; at least two periods
  * @param minReplicas number of replicas of a zone that must agree before their zone's vote counts,
- *     or all of them if it has fewer; from 1
+ *     or all replicas of a zone that has fewer; from 1
  * @param badShare a replica votes that a zone is lost if more than this fraction of its requests
  *     there failed or got no response; over 0, below 1
  * @param targetShare fraction of a zone's capacity up to which it serves requests of other zones;
@@ -21,7 +21,8 @@
  * @param lossHold how long a loss must last before requests move away; from 0
  * @param returnStep requests return in steps of this fraction of the zone's requests; over 0, to 1
  * @param returnHold how long a zone must be healthy before each step; over the period
- * @param maxReturnHold for a zone that flaps that time doubles up to this; no less than it
+ * @param maxReturnHold maximum to which {@code returnHold} doubles for a zone that flaps; no less
+ *     than {@code returnHold}
  * @param movesPerMinute maximum number of changes of one zone's routes within 60 s; from 8
  * @param probeShare fraction of a zone's requests that go to all other zones together, to probe
  *     them; 0 to 0.05
--- a/core/src/main/java/cedarrudder/failover/MoveHistory.java
+++ b/core/src/main/java/cedarrudder/failover/MoveHistory.java
@@ -9,8 +9,8 @@
 final class MoveHistory {
 
     /**
-     * A minute, plus by how much longer one table may take to reach a replica than another table to
-     * reach another replica.
+     * A minute, plus the maximum difference between the times that two tables take to reach two
+     * replicas.
      */
     private static final long WINDOW_NANOS = 63_000_000_000L;
 
--- a/core/src/main/java/cedarrudder/failover/TrafficAllocator.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficAllocator.java
@@ -6,7 +6,7 @@
 
 /**
  * Allocates the requests that zones can't serve themselves to the nearest zones with spare
- * capacity. An instance serves for one plan.
+ * capacity. An instance is used for one plan.
  */
 final class TrafficAllocator {
 
--- a/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
+++ b/core/src/main/java/cedarrudder/failover/TrafficSplitPlanner.java
@@ -304,7 +304,7 @@
         return gain;
     }
 
-    /** Returns whether a zone that serves some of this one's requests no longer can. */
+    /** Returns whether a zone that serves some of this zone's requests can no longer serve them. */
     private boolean hasBadTarget(
             long now, TrafficSplit current, ZoneHealthSnapshot health, int from) {
         for (int to = 0; to < zones; to++) {
--- a/core/src/main/java/cedarrudder/failover/ZoneCapacity.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneCapacity.java
@@ -71,8 +71,8 @@
     private void learn(int zone, double rate, double reported, boolean strained) {
         double known = ratePerWeight[zone];
         if (Double.isNaN(reported)) {
-            // Without load reports: a strained zone serves at its capacity; the capacity of another
-            // one is at least the rate that it serves.
+            // Without load reports: a strained zone serves at its capacity; the capacity of any
+            // other zone is at least the rate that it serves.
             ratePerWeight[zone] =
                     strained ? known + FALL_WEIGHT * (rate - known) : Math.max(known, rate);
         } else if (reported >= MIN_LOAD) {
--- a/core/src/main/java/cedarrudder/failover/ZoneCeiling.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneCeiling.java
@@ -16,10 +16,10 @@
     /** A ceiling that differs from 1 by less than this counts as 1. */
     private static final double FULL_CEILING_TOLERANCE = 0.06;
 
-    /** In place of the time since which a condition holds, if it does not hold. */
+    /** The value for the time since which a condition holds, if the condition does not hold. */
     private static final long NOT_NOW = Long.MAX_VALUE;
 
-    /** In place of the time of an event that never happened. */
+    /** The value for the time of an event that never happened. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final FailoverSettings settings;
--- a/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneHealthSnapshot.java
@@ -39,7 +39,7 @@
      * @param unreportedRate rate that it serves of requests that no replica reports
      * @param freshReplicas number of replicas of this zone whose reports are fresh
      * @param unhealthyFor the zones whose replicas report that their requests are not served there
-     * @param healthyFor the zones whose replicas report that they are
+     * @param healthyFor the zones whose replicas report that their requests are served there
      */
     public record ZoneHealth(
             ZoneState state,
@@ -53,7 +53,7 @@
             Set<Integer> unhealthyFor,
             Set<Integer> healthyFor) {
 
-        /** Returns whether requests of that zone may be sent here. */
+        /** Returns whether requests of the given zone may be sent to this zone. */
         public boolean mayServe(int from) {
             return state == ZoneState.HEALTHY && !unhealthyFor.contains(from);
         }
--- a/core/src/main/java/cedarrudder/failover/ZoneObservations.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneObservations.java
@@ -10,22 +10,23 @@
 import java.util.List;
 
 /**
- * The observations of all zones by one replica in one period: counts of what happened to its
- * requests, without a judgement.
+ * The observations of all zones by one replica in one period: counts of the outcomes of its
+ * requests, without a conclusion about the health of zones.
  *
  * <p>Encoded as a version, then {@link Varint}s in the order of the components. Observations that
  * do not fit into one part are split over several, between zones; each part begins with the same
  * header.
  *
  * @param replica the replica that observed, below {@value #MAX_REPLICAS}
- * @param zone its zone
- * @param incarnation its incarnation; reports of a later one replace those of an earlier one
- * @param sequence rises by one each period of that incarnation
- * @param table the number of the table in use there; 0 for none
+ * @param zone the zone of the replica
+ * @param incarnation the incarnation of the replica; reports of a later incarnation replace those
+ *     of an earlier one
+ * @param sequence a number that rises by one in each period of that incarnation
+ * @param table the number of the route table in use at the replica; 0 for none
  * @param millis length of the period in milliseconds; from 1
  * @param requests requests that arrived at the replica
- * @param unserved of those that ended, the ones that it rejected or failed
- * @param observations its observations, ordered by zone
+ * @param unserved requests that ended because the replica rejected or failed them
+ * @param observations the observations of the replica, ordered by zone
  */
 public record ZoneObservations(
         int replica,
@@ -38,10 +39,12 @@
         int unserved,
         List<ZoneObservation> observations) {
 
-    /** Maximum bytes of a part, which leaves capacity in a datagram for other content. */
+    /** Maximum bytes of a part, which leaves room in a datagram for other content. */
     public static final int MAX_BYTES = 200;
 
-    /** Bytes into which the longest header and one zone fit. */
+    /**
+     * The lowest allowed limit on the bytes of a part: the longest header and one zone fit into it.
+     */
     public static final int MIN_BYTES = 88;
 
     public static final int MAX_REPLICAS = 1 << 16;
@@ -56,22 +59,22 @@
     private static final int MAX_MILLIS = 1 << 20;
 
     /**
-     * The observations of one zone. Counts are of attempts that the replica sent there.
+     * The observations of one zone. Counts are of attempts that the replica sent to the zone.
      *
-     * @param age how many periods ago they were made; 0 for this one
-     * @param served that got a successful response
-     * @param failed that got an error response, or whose connection broke
-     * @param silent that got no response in time, or no connection
-     * @param rejected that were rejected before processing
-     * @param inFlight that are in flight
+     * @param age how many periods ago the observations were made; 0 for this period
+     * @param served attempts that got a successful response
+     * @param failed attempts that got an error response, or whose connection broke
+     * @param silent attempts that got no response in time, or no connection
+     * @param rejected attempts that were rejected before processing
+     * @param inFlight attempts that are in flight
      * @param unansweredMillis for how many milliseconds no response has arrived while attempts were
      *     in flight
-     * @param load the mean utilisation that endpoints there reported, in hundredths, plus one; 0
-     *     for none
-     * @param nodes endpoints that are listed as ready
-     * @param cold the ones of them that have just started
-     * @param usableWeightHundredths what all of them can do now, in hundredths of what a warm one
-     *     of weight 1 can
+     * @param load the mean utilisation that endpoints of the zone reported, in hundredths, plus
+     *     one; 0 for none
+     * @param nodes endpoints of the zone that are listed as ready
+     * @param cold ready endpoints that have just started
+     * @param usableWeightHundredths what all ready endpoints can serve now, in hundredths of what a
+     *     warm endpoint of weight 1 can serve
      */
     public record ZoneObservation(
             int zone,
@@ -87,7 +90,7 @@
             int cold,
             int usableWeightHundredths) {
 
-        /** Returns the number of attempts that ended there. */
+        /** Returns the number of attempts that ended. */
         public int ended() {
             return served + failed + silent + rejected;
         }
@@ -172,9 +175,7 @@
         }
     }
 
-    /**
-     * Decodes a part; returns null if the bytes are not one, and throws nothing, whatever they are.
-     */
+    /** Decodes a part; returns null if the bytes are malformed. Never throws. */
     public static ZoneObservations decode(byte[] bytes) {
         if (bytes.length < 2 || bytes.length > MAX_BYTES || bytes[0] != VERSION) {
             return null;
@@ -207,14 +208,14 @@
                             unserved,
                             observations);
         } catch (BufferUnderflowException e) {
-            return null; // truncated, or with a number that is out of range or not in its shortest
-            // encoding
+            // The part is truncated, or a number is out of range or not in its shortest encoding.
+            return null;
         }
     }
 
     /**
-     * Reads all remaining bytes as observations in the order of their zones; returns null if they
-     * are not that.
+     * Reads all remaining bytes as observations in the order of their zones; returns null if the
+     * bytes are malformed.
      */
     private static List<ZoneObservation> readObservations(ByteBuffer in) {
         List<ZoneObservation> observations = new ArrayList<>();
--- a/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneTrafficCounter.java
@@ -20,8 +20,8 @@
 public final class ZoneTrafficCounter {
 
     /**
-     * A period that took this many times its length shows that the process was suspended; it shows
-     * nothing of the zones.
+     * A period that took this many times its length shows that the process was suspended; its
+     * counts show nothing about the zones.
      */
     private static final double SUSPENSION_FACTOR = 1.4;
 
@@ -175,7 +175,7 @@
     /**
      * Ends the period, returns its observations and starts the next period. Returns null if this
      * replica was suspended in this period or the one before: it would otherwise report every zone
-     * as silent, though the silence is its own.
+     * as silent, although only this replica was silent.
      *
      * @param table the number of the table in use; 0 for none
      */
@@ -268,7 +268,8 @@
 
     /**
      * Returns for each zone the number of ready endpoints, the number of cold ones among them, and
-     * what all of them can do, in hundredths of a warm endpoint of weight 1.
+     * what all ready endpoints can serve, in hundredths of what a warm endpoint of weight 1 can
+     * serve.
      */
     private int[][] nodes(long now) {
         int[][] nodes = new int[zones.length][3];
--- a/core/src/main/java/cedarrudder/failover/ZoneVotes.java
+++ b/core/src/main/java/cedarrudder/failover/ZoneVotes.java
@@ -6,8 +6,8 @@
  * The votes of some replicas on whether a zone is healthy. Each replica with enough observations
  * has one vote, however many requests it has.
  *
- * @param unhealthy votes that it is unhealthy
- * @param healthy votes that it is healthy
+ * @param unhealthy votes that the zone is unhealthy
+ * @param healthy votes that the zone is healthy
  * @param replicas how many voted
  */
 record ZoneVotes(double unhealthy, double healthy, int replicas) {
--- a/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListFootprint.java
@@ -209,7 +209,10 @@
         return loaded.nodes() == 0 ? 0 : atPeak(loaded, loaded, loaded.nodes(), 0);
     }
 
-    /** Returns the same after a list of changes was loaded and the full list is sent again. */
+    /**
+     * Returns the maximum heap while the full list is sent again after a list of changes was
+     * loaded.
+     */
     private long peakOfRepeatedList(
             EndpointListShape loaded, EndpointListShape changes, int added) {
         EndpointListShape after = loaded.plus(changes, added);
--- a/core/src/main/java/cedarrudder/footprint/EndpointListShape.java
+++ b/core/src/main/java/cedarrudder/footprint/EndpointListShape.java
@@ -1,10 +1,10 @@
 package cedarrudder.footprint;
 
 /**
- * The properties of an endpoint list that determine its memory. Zones, kinds and cells need none of
- * their own: nodes store their numbers.
+ * The properties of an endpoint list that determine its memory. Zones, kinds and cells need no
+ * property here, since nodes store the numbers of these.
  *
- * @param nodes how many it lists
+ * @param nodes the number of nodes in the list
  * @param textBytes size of its text as received; 0 if none has arrived yet
  * @param idChars total characters of the ids
  * @param valueChars total characters of the other strings of its entries: addresses, zones, kinds,
@@ -19,7 +19,7 @@
         return texts == 0 ? 0 : (chars + texts / 2) / texts;
     }
 
-    /** Returns the shape of a list of this many nodes like those of this one. */
+    /** Returns this shape scaled to this many nodes; the same shape if the list has no nodes. */
     public EndpointListShape withNodes(int count) {
         return nodes == 0
                 ? this
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Returns the shape after this many of another list's nodes were added: the buffer of the
-     * larger text stays.
+     * Returns the shape of this list after this many nodes of another list were added. The text
+     * size is the larger of the two, since the buffer of the larger text is retained.
      */
     public EndpointListShape plus(EndpointListShape other, int count) {
         EndpointListShape added = other.withNodes(count);
--- a/core/src/main/java/cedarrudder/footprint/ObjectLayout.java
+++ b/core/src/main/java/cedarrudder/footprint/ObjectLayout.java
@@ -4,10 +4,10 @@
  * How the virtual machine lays out objects; sizes are bytes. Fields fill gaps, as in HotSpot since
  * 15.
  *
- * @param header of an object
- * @param arrayHeader of an array, including its length
- * @param reference of one reference
- * @param alignment objects begin at multiples of it
+ * @param header size of the header of an object
+ * @param arrayHeader size of the header of an array, including the array's length
+ * @param reference size of one reference
+ * @param alignment objects begin at multiples of this size
  */
 public record ObjectLayout(int header, int arrayHeader, int reference, int alignment) {
 
--- a/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessFootprint.java
@@ -67,7 +67,10 @@
         DESCRIPTORS
     }
 
-    /** One line of an estimate: a part of the replica, its number, and what all of them need. */
+    /**
+     * One line of an estimate: the name of a kind of part, the number of such parts, and what all
+     * of these parts need.
+     */
     public record Term(String name, long count, MemoryEstimate estimate) {}
 
     /**
@@ -100,9 +103,9 @@
     }
 
     /**
-     * Creates the footprint of a process with a baseline of its own.
+     * Creates the footprint of a process with the given baseline.
      *
-     * @param baseline what the process needs before the first list, as it reports itself
+     * @param baseline what the process needs before the first list, as the process itself reports
      */
     public ProcessFootprint(ObjectLayout layout, ProcessBaseline baseline) {
         this.layout = Objects.requireNonNull(layout);
--- a/core/src/main/java/cedarrudder/footprint/ProcessShape.java
+++ b/core/src/main/java/cedarrudder/footprint/ProcessShape.java
@@ -3,18 +3,18 @@
 import cedarrudder.routetable.RouteTable;
 
 /**
- * The properties of a replica of the proxy that determine its memory. Pods need none of their own,
- * and waves only their numbers in the route table: nodes store the numbers of their pods.
+ * The properties of a replica of the proxy that determine its memory. Pods need no property here,
+ * since nodes store the numbers of their pods; waves need only their numbers in the route table.
  *
  * @param list the loaded nodes, with the text of their list
- * @param zones of the settings
- * @param kinds of the settings
- * @param classes of requests
- * @param tenants of the settings
+ * @param zones number of zones in the settings
+ * @param kinds number of kinds in the settings
+ * @param classes number of classes of requests
+ * @param tenants number of tenants in the settings
  * @param table the route table in use; null for none
- * @param clientConnections connections of clients
- * @param endpointConnections connections to nodes
- * @param activeRequests requests in progress
+ * @param clientConnections number of connections of clients
+ * @param endpointConnections number of connections to nodes
+ * @param activeRequests number of requests in progress
  * @param bodyBytes bytes of bodies that those requests buffer
  */
 public record ProcessShape(
@@ -29,7 +29,7 @@
         int activeRequests,
         long bodyBytes) {
 
-    /** Returns the same shape with this many nodes, of the same kind. */
+    /** Returns this shape with its endpoint list scaled to this many nodes. */
     ProcessShape withNodes(int nodes) {
         return new ProcessShape(
                 list.withNodes(nodes),
--- a/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableCapacity.java
@@ -10,9 +10,9 @@
  * replicas decide on a table. Encoded in nine bytes, three per number; a larger number is sent as
  * the largest that fits into three bytes.
  *
- * @param bytes compact bytes of a table
- * @param leaving nodes that a table names as draining
- * @param nodes of a list
+ * @param bytes maximum compact bytes of a table
+ * @param leaving maximum number of nodes that a table names as draining
+ * @param nodes maximum number of nodes in an endpoint list
  */
 public record RouteTableCapacity(int bytes, int leaving, int nodes) {
 
@@ -37,7 +37,7 @@
         return size <= bytes && table.draining().size() <= leaving;
     }
 
-    /** Returns what both have capacity for. */
+    /** Returns the largest table and list that both capacities allow. */
     public RouteTableCapacity min(RouteTableCapacity other) {
         return new RouteTableCapacity(
                 Math.min(bytes, other.bytes),
@@ -45,7 +45,9 @@
                 Math.min(nodes, other.nodes));
     }
 
-    /** Returns what all have capacity for; {@link #ANY} if there are none. */
+    /**
+     * Returns the largest table and list that all capacities allow; {@link #ANY} if there are none.
+     */
     public static RouteTableCapacity min(Collection<RouteTableCapacity> capacities) {
         return capacities.stream().reduce(ANY, RouteTableCapacity::min);
     }
--- a/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
+++ b/core/src/main/java/cedarrudder/footprint/RouteTableFootprint.java
@@ -11,13 +11,14 @@
 public final class RouteTableFootprint {
 
     /**
-     * Minimum compact bytes of a route and of a draining node; the rest of a table has about 40.
+     * Minimum compact bytes of a route and, below, of a draining node; the rest of a table has
+     * about 40 bytes.
      */
     private static final int MIN_ROUTE_BYTES = 5;
 
     private static final int MIN_DRAINING_BYTES = 2;
 
-    /** Maximum compact bytes of a draining node: a distance of 52 bits and a wave of 16. */
+    /** Maximum compact bytes of a draining node: a distance of 52 bits and a wave of 16 bits. */
     private static final int MAX_DRAINING_BYTES = 11;
 
     /** Maximum compact bytes of a table with as many entries as it may have. */
@@ -28,12 +29,14 @@
                     + RouteTable.MAX_CLASSES * 7;
 
     /**
-     * While a table is read, each entry is referenced by a list that grew, by one in the text's
-     * order and by one in the table's order.
+     * While a table is read, three lists reference each entry: a list that grew, a list in the
+     * order of the text and a list in the order of the table.
      */
     private static final int REFERENCES_PER_ENTRY = 3;
 
-    /** Copies of a table's bytes that writing, collecting and copying make. */
+    /**
+     * Number of copies of a table's bytes that are made by writing, collecting and copying them.
+     */
     private static final int TABLE_COPIES = 4;
 
     private final ObjectLayout layout;
@@ -61,7 +64,8 @@
     }
 
     /**
-     * Returns the maximum heap while the next table is read: both tables, and what reading needs.
+     * Returns the maximum heap while the next table is read: the heap of both tables, and the heap
+     * that reading needs in addition.
      */
     public long atPeak(RouteTable loaded, RouteTable next) {
         long entries = next.routes().size() + next.draining().size() + next.limits().size();
@@ -76,7 +80,7 @@
      * bytes is not known yet, so all of them are assumed to be of the most expensive kind.
      *
      * @param capacity bytes of heap for tables, including the loaded one
-     * @param nodes the number of nodes that the result carries
+     * @param nodes the number of nodes to set in the result
      */
     public RouteTableCapacity capacity(RouteTable loaded, long capacity, int nodes) {
         long remaining = capacity - atRest(loaded);
@@ -118,7 +122,7 @@
         return layout.object(3, 4 * 8);
     }
 
-    /** Returns the size of its lists without entries. */
+    /** Returns the size of a table's three lists without entries. */
     private long emptyLists() {
         return 3 * (layout.object(1, 1) + layout.array(1, layout.reference()));
     }
--- a/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
+++ b/core/src/main/java/cedarrudder/forwarding/DiscoveryPollSchedule.java
@@ -72,7 +72,7 @@
     /** Carries out what the schedule decides. */
     public interface Actions {
 
-        /** Makes a call on a connection of its own: the spare one if there is one. */
+        /** Makes a call on a separate connection: the spare connection if there is one. */
         void open(int call);
 
         /** Dials a spare connection, or closes the existing one. */
@@ -135,7 +135,7 @@
     private boolean unavailableReported;
     private int failures;
 
-    /** Whether discovery itself ended the last call that failed: it is reachable, maybe busy. */
+    /** True if discovery itself ended the last call that failed: it is reachable, maybe busy. */
     private boolean reachable;
 
     private long nextCallAt = NEVER;
@@ -359,7 +359,7 @@
             }
         }
         if (hadPending && pending.isEmpty()) {
-            failures = 0; // a whole timeout has passed, so no long backoff on top of it
+            failures = 0; // a whole timeout has passed, so no long backoff is added
             backOff(now, timeouts.jitterNanos() / FAILED_CALL_JITTER_DIVISOR);
         }
     }
--- a/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
+++ b/core/src/main/java/cedarrudder/forwarding/RequestForwarder.java
@@ -19,8 +19,8 @@
 import java.util.function.Function;
 
 /**
- * Passes events to the balancer, one at a time, and carries out its actions. All decisions are the
- * balancer's.
+ * Passes events to the balancer, one at a time, and carries out its actions. The balancer makes all
+ * decisions.
  *
  * <p>An action never re-enters the balancer: an event that it causes, such as a connection that is
  * refused at once, waits in {@link SerialEventQueue} until the current event has been handled, as
@@ -388,7 +388,7 @@
     /**
      * Ends the attempts in flight of a request whose deadline has passed. After the last of them
      * the balancer ends the request, since it is then known whether any may have run. Each request
-     * has a timer of its own, so that no answer depends on the attempts or on the balancer.
+     * has a separate timer, so that no answer depends on the attempts or on the balancer.
      */
     private void expire(Exchange<Q, A> exchange) {
         // Iterates over a copy, since the balancer may start another attempt after a timeout.
--- a/core/src/main/java/cedarrudder/membership/MembershipSettings.java
+++ b/core/src/main/java/cedarrudder/membership/MembershipSettings.java
@@ -3,7 +3,7 @@
 /**
  * The parameters of membership. Times are nanoseconds.
  *
- * @param period between two probes by a healthy instance; at least 1 ms
+ * @param period time between two probes by a healthy instance; at least 1 ms
  * @param ackTimeout time after which helpers are requested to ping the target; less than the period
  * @param helpers how many helpers are requested to ping a target; from 0
  * @param suspicionMultiplier a suspicion that others confirm lasts this many periods, times the
--- a/core/src/main/java/cedarrudder/membership/Suspicions.java
+++ b/core/src/main/java/cedarrudder/membership/Suspicions.java
@@ -14,8 +14,8 @@
     /**
      * Creates an empty set of suspicions.
      *
-     * @param start the instance to begin with; each replica gets another one, so that not all ping
-     *     the same suspect first
+     * @param start the instance to begin with; each replica draws it at random, so that not all
+     *     ping the same suspect first
      */
     Suspicions(int start) {
         lastProbed = start;
--- a/core/src/main/java/cedarrudder/membership/SwimMember.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMember.java
@@ -13,7 +13,7 @@
  * RepeatedProbes} precede a suspicion, and {@link StateExchange} delivers what gossip did not.
  *
  * <p>The class has no clock, no socket and no thread. Its owner passes in messages and the time,
- * which never goes back, and reads from {@link #nextTickAt} when to call it next. Not thread-safe:
+ * which never decreases, and reads from {@link #nextTickAt} when to call it next. Not thread-safe:
  * use it from one thread at a time.
  *
  * <p>Outgoing traffic is bounded whatever the number of instances: per period one ping, two more to
@@ -80,8 +80,8 @@
     /**
      * Creates a member for which all others count as alive until they are found not to be.
      *
-     * @param instances how many there may be, from 1 to 65,535
-     * @param self the number of this one
+     * @param instances the maximum number of instances, from 1 to 65,535
+     * @param self the number of this instance
      * @param incarnation larger than any earlier incarnation of this instance, such as the time of
      *     its start in milliseconds; if it is not, the other instances report a larger one, and
      *     this instance continues with the next number
@@ -328,7 +328,7 @@
             case PING -> onPing(message);
             case PING_REQUEST -> onPingRequest(now, message);
             case ACK -> onAck(message);
-            case NACK -> {} // its arrival is all the information that it has
+            case NACK -> {} // only the arrival of a nack matters
         }
     }
 
--- a/core/src/main/java/cedarrudder/membership/SwimMessage.java
+++ b/core/src/main/java/cedarrudder/membership/SwimMessage.java
@@ -8,9 +8,9 @@
  *
  * @param sequence the ping's number, which its ack repeats
  * @param from the sender
- * @param incarnation the sender's own
+ * @param incarnation the sender's incarnation
  * @param subject the instance that is or was pinged
- * @param digest of the set of all instances that the sender counts as dead
+ * @param digest the digest of the set of all instances that the sender counts as dead
  * @param window part of that set, from which the receiver of a ping finds the updates that the
  *     sender lacks; null if the sender does not ask for them
  * @param updates the gossip that the message carries
@@ -40,8 +40,8 @@
     /**
      * A claim about an instance, and the instance that makes it.
      *
-     * @param accuser for a suspected instance the first one that suspected it; for a dead one the
-     *     instance itself if it left, otherwise the sender; for a live one the instance itself
+     * @param accuser for a suspected instance the first instance that suspected it; for a dead one
+     *     the instance itself if it left, otherwise the sender; for a live one the instance itself
      */
     record MemberUpdate(Member member, int accuser) {
 
--- a/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
+++ b/core/src/main/java/cedarrudder/metrics/RequestMetrics.java
@@ -2,8 +2,8 @@
 
 /**
  * The request counters of a process since its start. There is one instance: pages and agents read
- * it, and none has counters of its own. Owned by the event loop; not thread-safe. Reading or
- * incrementing a counter costs nanoseconds and allocates no memory.
+ * it, and none of them keeps separate counters. Owned by the event loop; not thread-safe. Reading
+ * or incrementing a counter costs nanoseconds and allocates no memory.
  */
 public final class RequestMetrics {
 
