--- a/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
+++ b/daemon/src/main/java/cedarrudder/operator/DrainsReader.java
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Adds the policies that can be read; returns whether all could be read, each with a name of
-     * its own.
+     * Adds the policies that can be read; returns whether all could be read, each with a different
+     * name.
      */
     private static boolean readPolicies(
             List<ConfigTable> tables, ConditionCompiler conditions, List<DrainPolicy> policies) {
--- a/daemon/src/main/java/cedarrudder/operator/HistorySettings.java
+++ b/daemon/src/main/java/cedarrudder/operator/HistorySettings.java
@@ -7,7 +7,7 @@
  *
  * @param file the file to which the lines are appended
  * @param clockOffset the offset that is added to the machine's clock, in milliseconds
- * @param clockDrift how much faster than the machine's clock time passes for this replica, in
+ * @param clockDrift by how much faster time passes for this replica than by the machine's clock, in
  *     millionths
  */
 public record HistorySettings(Path file, long clockOffset, int clockDrift) {}
--- a/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
+++ b/daemon/src/main/java/cedarrudder/program/AsyncLogWriter.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes lines on a thread of its own. A writer to a full pipe blocks until there is space, and the
+ * Writes lines on a separate thread. A writer to a full pipe blocks until there is space, and the
  * event loop must not block where the reader of standard error has stopped or reads slowly.
  *
  * <p>Lines may come from any thread; lines that do not fit into the queue are dropped. Each line
--- a/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
+++ b/daemon/src/main/java/cedarrudder/program/CoordinationWiring.java
@@ -37,7 +37,7 @@
         implements ReplicaCoordinator.Host, ReplicaCoordinator.ReplicaFactory {
 
     /**
-     * What a replica is, beside the settings of its operators.
+     * The properties of a replica beside the settings of its operators.
      *
      * @param zones the zone of each replica
      * @param tableCapacity returns what the replica can load beside the table that is loaded, which
--- a/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
+++ b/daemon/src/main/java/cedarrudder/program/EndpointListCheck.java
@@ -49,7 +49,7 @@
     /**
      * Creates a check.
      *
-     * @param limits with the heap's maximum as the virtual machine's flag states it
+     * @param limits the limits, with the heap's maximum as the virtual machine's flag states it
      */
     EndpointListCheck(OperatorFile operator, ProcessLimits limits, PrintWriter out) {
         this.operator = operator;
--- a/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
+++ b/daemon/src/main/java/cedarrudder/program/HandoverCoordinator.java
@@ -36,7 +36,8 @@
     private static final int POLLS_AFTER_LAST_PROCESS = 2;
 
     /**
-     * The polls during which a successor leaves it to its predecessor to restore a cleared folder.
+     * The maximum number of polls during which a successor waits for its predecessor to restore a
+     * cleared folder.
      */
     private static final int MAX_POLLS_AWAITING_PREDECESSOR = 10;
 
--- a/daemon/src/main/java/cedarrudder/program/HistoryFile.java
+++ b/daemon/src/main/java/cedarrudder/program/HistoryFile.java
@@ -60,8 +60,8 @@
 
     @Override
     public void record(String what, Map<String, ?> fields) {
-        // Records the loss first, so that a checker does not take an incomplete history for a
-        // complete one.
+        // Records the loss first, so that a checker does not mistake an incomplete history
+        // for a complete one.
         if (lostEvents > 0 && lines.offer(line("lost", Map.of("events", lostEvents)))) {
             lostEvents = 0;
         }
--- a/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
+++ b/daemon/src/main/java/cedarrudder/program/PersistedAdminState.java
@@ -15,7 +15,8 @@
 /**
  * The operators' requests that outlive the process: a folder with an empty file for each disabled
  * endpoint, and one while the proxy is drained. Each change is one creation or deletion, so a kill
- * at any moment leaves the state before the change or after it, and two processes see the same.
+ * at any moment leaves the state before the change or after it, and two processes read the same
+ * state.
  */
 final class PersistedAdminState {
 
--- a/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessHandover.java
@@ -48,8 +48,8 @@
     private static final int START_TIMES_OFFSET = 8;
 
     /**
-     * The attempts to lock a byte: another process's check locks a byte for a moment, which has to
-     * be told from a lock that is held for good.
+     * The maximum number of attempts to lock a byte. Another process's check locks a byte for a
+     * moment, so a single failed attempt does not show that the byte is locked permanently.
      */
     private static final int LOCK_TRIES = 5;
 
@@ -76,7 +76,10 @@
 
     private final Path folder;
 
-    /** By the monotonic clock that all processes of a machine share and that nobody sets. */
+    /**
+     * The start time of this process, in nanoseconds of the monotonic clock, which all processes of
+     * a machine share and nobody sets.
+     */
     private final long startedAt = System.nanoTime();
 
     private FileChannel file;
@@ -116,8 +119,8 @@
         if (file == null || ownSlot >= 0 && fileKey.equals(currentFileKey())) {
             return false;
         }
-        ownSlot = -1; // reset until a slot is claimed, so that the next call tries again after a
-        // failure
+        // Reset until a slot is claimed, so that the next call tries again after a failure.
+        ownSlot = -1;
         file.close();
         open();
         FileLock lock = lock(RESTORING_OFFSET);
@@ -126,8 +129,8 @@
         }
         try {
             if (hasPeerRole) {
-                peerRoleLock =
-                        lock(PEER_ROLE_OFFSET); // before other processes can: see the flag below
+                // Locked before the flag is set below, after which other processes could lock it.
+                peerRoleLock = lock(PEER_ROLE_OFFSET);
             }
             ByteBuffer flag = ByteBuffer.allocate(1);
             if (file.read(flag, RESTORED_FLAG_OFFSET) < 1 || flag.get(0) == 0) {
@@ -179,7 +182,8 @@
                 continue;
             }
             if (isLocked(i)) {
-                claim.release(); // locked by a version that makes no claims
+                // A process of an earlier version, which locks no claim byte, uses the slot.
+                claim.release();
                 continue;
             }
             file.write(ByteBuffer.allocate(Long.BYTES).putLong(0, startedAt), startTimeOffset(i));
--- a/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
+++ b/daemon/src/main/java/cedarrudder/program/ProcessMemoryEstimate.java
@@ -194,8 +194,8 @@
     }
 
     /**
-     * Records that the list judged last is loaded, and then, measured on a thread of its own, the
-     * heap that the process uses.
+     * Records that the list of the latest verdict, or the part of it that fits, is loaded. A
+     * separate thread then measures the heap that the process uses, and the result is recorded too.
      */
     void recordHeld(EventRecorder history, Consumer<Runnable> loop) {
         String load = currentLoad;
--- a/daemon/src/main/java/cedarrudder/program/ProxyServer.java
+++ b/daemon/src/main/java/cedarrudder/program/ProxyServer.java
@@ -511,7 +511,7 @@
      * settings take effect at the next start. Requests and clients are not affected.
      *
      * <p>The configuration is read on the caller's thread, since reading a slow file would block
-     * the loop. Of two changes the later one counts if the caller reads one at a time.
+     * the loop. The later of two changes takes effect if the caller reads one at a time.
      *
      * @param changed reads the configuration, or throws an exception that says why it can't
      */
@@ -575,9 +575,7 @@
 
     // ---- the end
 
-    /**
-     * Records that the start has failed, so that the shutdown waits for nothing. From any thread.
-     */
+    /** Records that the start has failed, so that the shutdown waits for nothing. Thread-safe. */
     void abandon() {
         gate.abandon();
     }
--- a/daemon/src/main/java/cedarrudder/program/ReloadSignal.java
+++ b/daemon/src/main/java/cedarrudder/program/ReloadSignal.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Handles SIGHUP, one signal at a time, so that of two changes the later one counts. A signal that
- * arrives while another one is pending has no further effect, which bounds a burst of them.
+ * Handles SIGHUP, one signal at a time, so that the later of two changes takes effect. A signal
+ * that arrives while another one is pending has no further effect, which bounds a burst of them.
  * Thread-safe.
  */
 final class ReloadSignal {
--- a/daemon/src/main/java/cedarrudder/program/Signals.java
+++ b/daemon/src/main/java/cedarrudder/program/Signals.java
@@ -10,10 +10,10 @@
     private Signals() {}
 
     /**
-     * Runs a task at each SIGHUP, on a thread of its own, in place of ending the virtual machine.
+     * Runs a task at each SIGHUP, on a separate thread, in place of ending the virtual machine.
      *
-     * <p>Uses reflection, since the compiler warns of the class by its name and the warning can't
-     * be suppressed; the module that contains the class is open to all programs.
+     * <p>Uses reflection, since the compiler warns wherever the code names the class and the
+     * warning can't be suppressed; the module that contains the class is open to all programs.
      *
      * @param otherwise receives the reason where the virtual machine doesn't allow it
      */
--- a/daemon/src/main/java/cedarrudder/program/StartupGate.java
+++ b/daemon/src/main/java/cedarrudder/program/StartupGate.java
@@ -5,7 +5,7 @@
 /**
  * Decides whether clients may have connected: the start calls {@link #join} before it listens on
  * their address, and the shutdown signal calls {@link #end} before it waits for clients, each on a
- * thread of its own. The first caller decides. Thread-safe.
+ * separate thread. The first caller decides. Thread-safe.
  */
 final class StartupGate {
 
--- a/daemon/src/main/java/cedarrudder/program/Warmup.java
+++ b/daemon/src/main/java/cedarrudder/program/Warmup.java
@@ -149,9 +149,9 @@
 
     /**
      * Returns a handler that answers a request if it is one of the warm-up's own; the handler
-     * retains only the id. It must stay installed as long as the proxy runs: after a timeout of the
-     * warm-up, or with a hedged request in flight, bytes of a request may be read after the warm-up
-     * has ended. On a busy core such a request was seen to be forwarded to an endpoint.
+     * retains only the id. The handler must stay installed as long as the proxy runs: after a
+     * timeout of the warm-up, or with a hedged request in flight, bytes of a request may be read
+     * after the warm-up has ended. Such a request has been forwarded to an endpoint on a busy core.
      */
     BiPredicate<Exchange<HttpMessage, HttpMessage>, Exchange.Reply<HttpMessage>> ownResponses() {
         String own = token;
--- a/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
+++ b/daemon/src/main/java/cedarrudder/protocol/MessageHead.java
@@ -10,7 +10,7 @@
 
     private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
 
-    /** Whether each character may occur in a token (RFC 9110 5.6.2), by its code. */
+    /** For each character code: true if the character may occur in a token (RFC 9110 5.6.2). */
     private static final boolean[] TOKEN_CHARACTERS = new boolean[256];
 
     static {
--- a/daemon/src/main/java/cedarrudder/transport/AdminListener.java
+++ b/daemon/src/main/java/cedarrudder/transport/AdminListener.java
@@ -90,7 +90,7 @@
         channel = bound.channel();
     }
 
-    /** Returns the address at which it listens. */
+    /** Returns the address at which the listener accepts connections. */
     InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
@@ -226,7 +226,7 @@
     /** Decodes percent-encoding, once. */
     private static String percentDecoded(String segment) throws MalformedMessageException {
         try {
-            // // The decoder is for forms, in which a plus sign means a blank; here it is a plus
+            // The decoder is for forms, in which a plus sign means a blank; here it is a plus
             // sign.
             return URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
@@ -245,8 +245,8 @@
             min = min == null || call.receivedBytes < min.receivedBytes ? call : min;
         }
         if (min != null) {
-            // // At once and not when the channel is closed, which is later: the same connection
-            // must not be evicted for several new ones.
+            // Removed at once rather than when the channel is closed, which happens later: the same
+            // connection must not be evicted for several new ones.
             connections.remove(min);
             min.channel.close();
         }
@@ -294,8 +294,9 @@
         protected void channelRead0(ChannelHandlerContext context, ByteBuf in) {
             receivedBytes += in.readableBytes();
             if (answered || awaitsResult) {
-                return; // // input after the request is read: closing with bytes unread would lose
-                // the response
+                // Input after the request is read and dropped: closing with bytes unread would lose
+                // the response.
+                return;
             }
             try {
                 HttpMessage call = decoder.decode(in);
@@ -305,7 +306,7 @@
                     if (answer != null) {
                         respond(answer);
                     } else if (!answered) {
-                        closeIn(CALL_TIMEOUT_NANOS); // // time for the replicas to agree
+                        closeIn(CALL_TIMEOUT_NANOS); // time for the replicas to agree
                         awaitsResult = true;
                     }
                 } else if (decoder.awaitsContinue()) {
@@ -324,7 +325,7 @@
 
         private void respond(AdminResponse answer) {
             answered = true;
-            receivedBytes = Long.MAX_VALUE; // // evicted last
+            receivedBytes = Long.MAX_VALUE; // evicted last
             channel.writeAndFlush(
                             HttpEncoder.page(
                                     loop.buffers(),
--- a/daemon/src/main/java/cedarrudder/transport/AttemptCall.java
+++ b/daemon/src/main/java/cedarrudder/transport/AttemptCall.java
@@ -99,7 +99,7 @@
                         ? DownstreamFeedback.NOTHING
                         : BudgetHeaders.result(answer);
         if (answer.head().status() == OK_STATUS) {
-            // // If the response was streamed, the exchange has ended, and this only reports the
+            // If the response was streamed, the exchange has ended, and this only reports the
             // end.
             pool.forwarder().served(attempt, answer, load, feedback);
         } else {
--- a/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
+++ b/daemon/src/main/java/cedarrudder/transport/BodyWriter.java
@@ -72,7 +72,7 @@
         try {
             wrote = writePieces();
         } catch (OutOfMemoryError e) {
-            // // A piece is lost: the body must not continue without it, or wait for it for ever.
+            // A piece is lost: the body must not continue without it, or wait for it for ever.
             loop.log().fault("body.write_failed", e).write();
             stop();
             listener.onBodyFailed();
@@ -113,7 +113,7 @@
 
     private void onEndWritten(boolean success) {
         if (stopped) {
-            return; // // the client or the endpoint has disconnected and needs no result
+            return; // the client or the endpoint has disconnected and needs no result
         }
         if (success) {
             listener.onBodyWritten();
--- a/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/ClientConnection.java
@@ -66,7 +66,7 @@
         this.reader = new RequestReader(server, shutdown, this, channel);
     }
 
-    // // ---- state
+    // ---- state
 
     ClientConnectionState state() {
         return state;
@@ -108,7 +108,7 @@
         ClientLimits limits = server.limits();
         return switch (next) {
             case READING_HEAD ->
-                    // // The timeout of the first request counts from when the connection was
+                    // The timeout of the first request counts from when the connection was
                     // accepted.
                     state == ClientConnectionState.NEW ? timeoutAt : now + limits.requestTimeout();
             case NEW, READING_BODY -> now + limits.requestTimeout();
@@ -133,7 +133,7 @@
             reader.readNow();
         }
         if (download != null) {
-            // // A client that reads everything it is sent is not timed out because an endpoint is
+            // A client that reads everything it is sent is not timed out because an endpoint is
             // slow.
             timeoutAt =
                     Math.max(
@@ -149,7 +149,7 @@
         }
     }
 
-    // // ---- channel events
+    // ---- channel events
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
@@ -168,7 +168,7 @@
         if (download != null && channel.isWritable()) {
             timeoutAt =
                     server.loop().now()
-                            + server.limits().responseTimeout(); // // the client is reading
+                            + server.limits().responseTimeout(); // the client is reading
             download.pump();
         }
     }
@@ -179,8 +179,8 @@
         on(ClientConnectionState.Event.CLOSE);
         reader.close();
         if (download != null) {
-            // // Before the attempt is ended, which would otherwise abort a response on a closed
-            // channel.
+            // The download is stopped before the attempt is ended, which would otherwise abort a
+            // response on a closed channel.
             download.stop();
             download = null;
         }
@@ -202,7 +202,7 @@
         context.close();
     }
 
-    // // ---- requests
+    // ---- requests
 
     /**
      * Accepts a request and passes it to the forwarder.
@@ -268,11 +268,11 @@
      */
     void reject(MalformedMessageException e) {
         if (reader.dropsInput()) {
-            return; // // the rest of a body whose request was answered in the meantime
+            return; // the rest of a body whose request was answered in the meantime
         }
         boolean streaming = download != null;
         if (streaming) {
-            abort(); // // another response can't follow
+            abort(); // another response can't follow
         }
         abandonRequest();
         reader.dropUpload();
@@ -299,7 +299,7 @@
         return reader.isUploading() || download != null;
     }
 
-    // // ---- responses
+    // ---- responses
 
     /**
      * Returns whether the next response is the last of its connection; called once for each
@@ -354,12 +354,12 @@
     /** Streams a response; the request stays open until the end of the body. */
     void stream(BodyFlow flow, boolean chunked, boolean last, Supplier<ByteBuf> headEncoder) {
         if (state == ClientConnectionState.CLOSED) {
-            return; // // channelInactive follows and ends the attempt
+            return; // channelInactive follows and ends the attempt
         }
         on(last ? ClientConnectionState.Event.LAST_RESPONSE : ClientConnectionState.Event.RESPONSE);
         ByteBuf head = encode(headEncoder);
         if (head == null) {
-            close(); // // this also ends the attempt
+            close(); // this also ends the attempt
             return;
         }
         channel.write(head);
@@ -443,7 +443,7 @@
         }
     }
 
-    // // ---- end of the connection
+    // ---- end of the connection
 
     /**
      * Reads pending input and returns whether the connection is still in the state for which it was
--- a/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
+++ b/daemon/src/main/java/cedarrudder/transport/DiscoveryClient.java
@@ -284,12 +284,12 @@
         public void onUnavailable() {
             if (isWatch || !watch.schedule.isActive()) {
                 unavailableListener
-                        .run(); // // otherwise the watch is established and reports any changes
+                        .run(); // otherwise the watch is established and reports any changes
             }
         }
     }
 
-    /** A call to discovery, on a connection of its own. It reports at most one failure. */
+    /** A call to discovery, on a separate connection. The call reports at most one failure. */
     private final class DiscoveryCall extends SimpleChannelInboundHandler<ByteBuf>
             implements ObjectStream.Events {
         private final DiscoveryRequests requests;
@@ -343,7 +343,7 @@
         }
 
         void connect() {
-            // // The connect timeout equals that of the call: a connection may be established late.
+            // The connect timeout equals that of the call: a connection may be established late.
             Bootstrap own =
                     bootstrap
                             .clone()
@@ -429,8 +429,7 @@
             EndpointList result = applyUpdate(text);
             if (result != null) {
                 if (listReader != null && listReader.roomier()) {
-                    applyUpdate(
-                            text); // // endpoints that were removed have freed capacity for others
+                    applyUpdate(text); // endpoints that were removed have freed capacity for others
                 }
                 onListApplied(result.full() || first && requestedSince <= completeVersion);
             }
@@ -446,16 +445,16 @@
                     message.integer("version") < version
                             && !(requests.isWatch && message.flag("full", false));
             if (outdated && !requests.isWatch) {
-                // // A late response must not undo changes that the watch has reported since.
+                // A late response must not undo changes that the watch has reported since.
                 fail("list is older than the known version");
                 return null;
             }
-            // // An outdated update is not parsed: it would undo what is known of endpoints.
+            // An outdated update is not parsed: it would undo what is known of endpoints.
             EndpointList result = outdated ? null : parser.read(message);
             answered = true;
             requests.schedule.onUpdate(loop.now(), callNumber);
             if (outdated) {
-                return null; // // a change that the watch at the old address has reported already
+                return null; // a change that the watch at the old address has reported already
             }
             version = result.version();
             loop.log()
@@ -479,9 +478,9 @@
 
         private void fail(String why) {
             if (target == null) {
-                close(); // // a spare connection: no request has failed
+                close(); // a spare connection: no request has failed
             } else if (!closed) {
-                if (!loop.isStopping()) { // // otherwise a failed start would log a second fault
+                if (!loop.isStopping()) { // otherwise a failed start would log a second fault
                     logFailure(why);
                 }
                 close();
--- a/daemon/src/main/java/cedarrudder/transport/EndpointCall.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointCall.java
@@ -40,7 +40,7 @@
         return state == State.ENDED;
     }
 
-    // // ---- content
+    // ---- content
 
     /**
      * Returns whether the first byte may be sent now; if not, the call has ended. Called once,
@@ -68,7 +68,7 @@
         return false;
     }
 
-    // // ---- result
+    // ---- result
 
     /** Records that the last byte is written. */
     void writeComplete() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Ends the call without a result; closing the connection is how the endpoint detects this. */
+    /** Ends the call without a result; the endpoint detects this by the closed connection. */
     final void abandon() {
         state = State.ENDED;
         if (connection != null) {
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnection.java
@@ -67,7 +67,7 @@
                         false, limits.maxHeadBytes(), limits.maxBodyBytes(), BodyFlow.WINDOW);
     }
 
-    // // ---- state
+    // ---- state
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
@@ -120,7 +120,7 @@
         return sinceStart && loop.now() - idleSince <= pool.idleLimitNanos() && channel.isQuiet();
     }
 
-    // // ---- requests
+    // ---- requests
 
     /**
      * Records that the connection is established, and sends its first call. The endpoint counts the
@@ -241,7 +241,7 @@
         context.fireChannelWritabilityChanged();
     }
 
-    // // ---- responses
+    // ---- responses
 
     /**
      * Decodes received bytes. A malformed response counts as a failed connection, since the request
@@ -253,7 +253,7 @@
             return;
         }
         if (state.is(State.IDLE)) {
-            close(); // // unexpected bytes, such as those after the end of the last response
+            close(); // unexpected bytes, such as those after the end of the last response
             return;
         }
         try {
@@ -314,7 +314,7 @@
 
     private void continueDownload(BodyFlow flow) {
         if (download == flow && !flow.isFull()) {
-            lastReceivedAt = loop.now(); // // silence counts from when reading resumes
+            lastReceivedAt = loop.now(); // the timeout for silence starts when reading resumes
             channel.config().setAutoRead(true);
         }
     }
@@ -376,7 +376,7 @@
         done.answered(answer);
     }
 
-    // // ---- end
+    // ---- end
 
     /**
      * Returns the connection to the pool if its endpoint is still listed; the instant since which
@@ -452,7 +452,7 @@
                     .with("endpoint", endpoint.address())
                     .write();
         }
-        fail(); // // before the channel is inactive: the part of a response that was received is
-        // not complete
+        // Called before the channel is inactive: the received part of a response is not complete.
+        fail();
     }
 }
--- a/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
+++ b/daemon/src/main/java/cedarrudder/transport/EndpointConnectionPool.java
@@ -139,7 +139,7 @@
         endpoints.values().forEach(UpstreamEndpoint::remove);
     }
 
-    // // ---- endpoints
+    // ---- endpoints
 
     /**
      * Applies an endpoint list. An endpoint that is removed, or has another address, is removed
@@ -196,7 +196,7 @@
         return inFlight;
     }
 
-    // // ---- attempts and probes
+    // ---- attempts and probes
 
     @Override
     public void startAttempt(RequestAttempt<HttpMessage, HttpMessage> attempt) {
@@ -238,7 +238,7 @@
         }
         boolean evicted = open >= bounds.maxIdle() && closeOldestIdle();
         if (open >= bounds.max() && !evicted) {
-            call.notStarted(); // // operators and discovery need the remaining descriptors
+            call.notStarted(); // operators and discovery need the remaining descriptors
             return;
         }
         connect(endpoint, call);
@@ -257,13 +257,13 @@
         if (done.isSuccess()) {
             connection.onConnected(call);
         } else if (done.cause() instanceof ChannelException) {
-            call.notStarted(); // // no descriptor is available
+            call.notStarted(); // no descriptor is available
         } else {
             call.connectionFailed();
         }
     }
 
-    // // ---- idle connections
+    // ---- idle connections
 
     @Override
     public void closeIdleConnections(long endpoint) {
@@ -300,7 +300,7 @@
         }
     }
 
-    // // ---- state that calls and connections use
+    // ---- state that calls and connections use
 
     /** Returns the number of connections. */
     public int open() {
--- a/daemon/src/main/java/cedarrudder/transport/GracefulShutdown.java
+++ b/daemon/src/main/java/cedarrudder/transport/GracefulShutdown.java
@@ -72,11 +72,12 @@
     private long answerBy = NEVER;
 
     /**
-     * Whether connections may still be accepted: the socket is open, or its queue is being emptied.
+     * True while connections may still be accepted during the shutdown: the socket is open, or its
+     * queue is being emptied.
      */
     private boolean acceptPending;
 
-    /** Whether each response is the last of its connection, and idle connections are closed. */
+    /** True while each response is the last of its connection, and idle connections are closed. */
     private boolean closing;
 
     private Runnable whenEmpty;
@@ -100,7 +101,7 @@
         listening = socket;
     }
 
-    // // ---- drain by operators
+    // ---- drain by operators
 
     /** Starts a drain on an operator's request; has no effect during a drain. */
     void drainByOperator() {
@@ -140,7 +141,7 @@
                 || replacedAt != 0 && now - replacedAt >= HANDOVER_FROM_NANOS;
     }
 
-    // // ---- state that connections use
+    // ---- state that connections use
 
     /**
      * Returns whether a response is to be the last of its connection, apart from pipelined
@@ -172,7 +173,7 @@
         return Math.min(MAX_WAIT_NANOS, server.headers().longestWait()) + ANSWER_AFTER_WAIT_NANOS;
     }
 
-    // // ---- end of the process
+    // ---- end of the process
 
     /**
      * Shuts the server down: clients are served for a while, all accepted requests are answered,
@@ -273,7 +274,7 @@
             return;
         }
         if (listening.isOpen()) {
-            closeSocket(); // // otherwise waiting connections would be reset
+            closeSocket(); // otherwise waiting connections would be reset
         } else {
             whenEmpty.run();
         }
--- a/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/HandoverSocket.java
@@ -68,13 +68,13 @@
                 waiting.add(next);
             }
         } catch (IOException e) {
-            // // such as no descriptor left: waiting connections are reset, as they would be
-            // without this
+            // For example, no descriptor is left: waiting connections are reset, as they would be
+            // if none were accepted here.
         }
         try {
             javaChannel().close();
         } catch (IOException e) {
-            // // the channel closes it once more below
+            // the channel closes it once more below
         }
         for (SocketChannel accepted : waiting) {
             pipeline().fireChannelRead(new NioSocketChannel(this, accepted));
--- a/daemon/src/main/java/cedarrudder/transport/HttpServer.java
+++ b/daemon/src/main/java/cedarrudder/transport/HttpServer.java
@@ -182,9 +182,8 @@
 
     private void sweep() {
         long now = loop.now();
-        loop.at(
-                now + SWEEP_NANOS,
-                this::sweep); // // first, so that an exception below does not end the sweeps
+        // first, so that an exception below does not end the sweeps
+        loop.at(now + SWEEP_NANOS, this::sweep);
         connections.sweep(now);
         shutdown.sweep(now);
     }
--- a/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
+++ b/daemon/src/main/java/cedarrudder/transport/PeerSocket.java
@@ -74,8 +74,8 @@
      */
     public void takeOver(InetSocketAddress address, Runnable then) {
         ChannelFuture begun = bind(address, true);
-        channel = begun.channel(); // // close() may be called from now on, whether the socket is
-        // bound yet or not
+        // Set at once, since close() may be called before the socket is bound.
+        channel = begun.channel();
         begun.addListener(
                 (ChannelFuture bound) -> {
                     if (bound.isSuccess()) {
@@ -156,7 +156,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // // Such as an error because a peer's port is closed: the socket stays open.
+            // The socket stays open, since the cause may be just the closed port of a peer.
             loop.log().warn("peer.socket_failed").with("error", cause).write();
         }
     }
--- a/daemon/src/main/java/cedarrudder/transport/ProbeCall.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProbeCall.java
@@ -61,7 +61,7 @@
     @Override
     void onAnswer(HttpMessage answer) {
         if (endpoint().isRemoved()) {
-            onFailure(Outcome.CANCELLED); // // the report applies to no listed endpoint
+            onFailure(Outcome.CANCELLED); // the report applies to no listed endpoint
             return;
         }
         timeout.cancel();
--- a/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
+++ b/daemon/src/main/java/cedarrudder/transport/ProxyEventLoop.java
@@ -134,14 +134,14 @@
         try {
             group.execute(() -> runGuarded(task));
         } catch (RejectedExecutionException e) {
-            // // the state that the task would change no longer exists
+            // the state that the task would change no longer exists
         }
     }
 
     /**
      * Connects, and passes the result on the event loop, or at once if it is known at once. Netty
-     * reports one case on a thread of its own, which is redirected to the loop: a socket that can't
-     * be created for lack of a descriptor.
+     * reports one failure on another thread, and the report is redirected to the loop: a socket
+     * that can't be created for lack of a descriptor.
      */
     void connect(Bootstrap bootstrap, InetSocketAddress to, Consumer<Future<? super Void>> then) {
         bootstrap
@@ -179,7 +179,7 @@
         try {
             task.run();
         } catch (RuntimeException | VirtualMachineError | LinkageError e) {
-            // // A fault in one task must not end the event loop.
+            // A fault in one task must not end the event loop.
             log.fault("loop.task_failed", e).write();
         }
     }
--- a/daemon/src/main/java/cedarrudder/transport/RequestReader.java
+++ b/daemon/src/main/java/cedarrudder/transport/RequestReader.java
@@ -88,13 +88,13 @@
         this.buffer = new ReadAheadBuffer(account, server.loop()::now);
     }
 
-    // // ---- receiving
+    // ---- receiving
 
     /** Processes bytes that were read from the channel, and releases them. */
     void receive(ByteBuf bytes) {
         buffer.onReceived(bytes.readableBytes());
         if (bytes.isWritable()) {
-            unreadSince = NEVER; // // the socket had no more
+            unreadSince = NEVER; // the socket had no more
         }
         if (dropsInput()) {
             connection.drop(bytes);
@@ -123,7 +123,7 @@
     /** Continues to read, or stops reading if enough bytes are buffered. */
     void continueReading() {
         if (dropsInput()) {
-            return; // // during the end of a connection, ClientConnection controls reading
+            return; // during the end of a connection, ClientConnection controls reading
         }
         boolean reads = mayRead();
         channel.config().setAutoRead(reads);
@@ -131,7 +131,7 @@
             noteUnread();
         }
         if (upload != null) {
-            // // The timeout counts from the last progress: a large body may take as long as it
+            // The timeout counts from the last progress: a large body may take as long as it
             // needs.
             long now = server.loop().now();
             connection.setTimeoutAt(upload.isFull() ? NEVER : now + UPLOAD_SILENCE_NANOS);
@@ -195,7 +195,7 @@
         return decoder.wantsHeadOnly();
     }
 
-    // // ---- decoding
+    // ---- decoding
 
     /**
      * Decodes received bytes up to the end of a request; the next request waits until it is
@@ -255,7 +255,7 @@
     private void decodeUpload() throws MalformedMessageException {
         BodyFlow flow = upload;
         boolean complete = decoder.decode(buffer.bytes()) != null;
-        // // Decoding may have caused the request to be answered, which drops the rest of its body.
+        // Decoding may have caused the request to be answered, which drops the rest of its body.
         if (complete && upload == flow) {
             upload = null;
             connection.setTimeoutAt(NEVER);
@@ -307,7 +307,7 @@
         }
     }
 
-    // // ---- end
+    // ---- end
 
     /** Returns whether a request body is being streamed. */
     boolean isUploading() {
--- a/daemon/src/main/java/cedarrudder/transport/ServiceState.java
+++ b/daemon/src/main/java/cedarrudder/transport/ServiceState.java
@@ -1,9 +1,9 @@
 package cedarrudder.transport;
 
 /**
- * Whether the proxy serves, as a table of states and events. A state consists of the phase of the
- * process, and whether operators have drained the proxy; the latter is persisted beyond the
- * process.
+ * The state that determines whether the proxy serves, with its transitions. A state consists of the
+ * phase of the process, and whether operators have drained the proxy; the latter is persisted
+ * beyond the process.
  *
  * @param drained whether operators have drained the proxy
  */
--- a/daemon/src/main/java/cedarrudder/transport/UpstreamEndpoint.java
+++ b/daemon/src/main/java/cedarrudder/transport/UpstreamEndpoint.java
@@ -61,7 +61,7 @@
         List.copyOf(idle).forEach(EndpointConnection::close);
     }
 
-    // // ---- state
+    // ---- state
 
     /**
      * Marks the endpoint as removed and closes its idle connections; attempts in flight refer to it
