--- a/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
+++ b/daemon/src/test/java/cedarrudder/program/RetainedEndpointList.java
@@ -148,9 +148,9 @@
 
     List<Object> roots() throws Exception {
         return List.of(
-                field(parser, "numbers"),
-                field(parser, "starts"),
-                field(parser, "names"),
+                field(parser, "numbersById"),
+                field(parser, "startsById"),
+                field(parser, "idsByNumber"),
                 field(connections, "endpoints"),
                 overrides,
                 balancer);
